--- a/packages/scheduler/portwharf/scheduler/batches.py
+++ b/packages/scheduler/portwharf/scheduler/batches.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What comes into a pass of an owner, and what goes out of it.
+"""The input and the output of one pass of an owner's deciding thread.
 
-Items wait in the owner's inbox for its deciding thread; a batch holds the
-events of one pass and what may be done before and after they are logged.
+Items wait in the owner's inbox for a pass. A batch holds the events that a
+pass has produced, and the actions to run before and after they are logged.
 """
 
 import dataclasses
@@ -12,8 +12,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Reported:
-    """A side's reports, waiting to be judged.
+    """A side's task reports, to be processed by the next pass.
 
+    :param link: the link to the side
+    :param message: the ``messages.Reports`` that it sent
     :param connection: the number of the link's connection that they came on
     """
 
@@ -24,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Measured:
-    """What a side measured of its services, waiting to be learnt from."""
+    """A side's measurements of its services, for the next pass."""
 
     vm: str = ''
     measures: list = None
@@ -32,7 +34,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Called:
-    """An operator's changing call, waiting to be carried out."""
+    """An operator's call that changes state, for the next pass.
+
+    :param fut: the future that gets the answer
+    """
 
     fut: object = None
     method: str = ''
@@ -40,7 +45,11 @@
 
 
 class Batch:
-    """Events of one pass and what is done once they are logged."""
+    """The events of one pass, and the actions around logging them.
+
+    ``events`` holds the events, ``early`` and ``effects`` the functions to
+    call before and after the events are logged.
+    """
 
     def __init__(self):
         self.events = []
@@ -48,7 +57,7 @@
         self.effects = []
 
     def send_early(self, link, message):
-        """Send a message that earlier entries of the log allow already."""
+        """Send a message that needs only events that are logged already."""
         if link is not None:
             self.early.append(lambda: link.send(message))
 
@@ -63,9 +72,9 @@
 
 
 class Step(enum.Enum):
-    """What became of one step of the deciding thread."""
+    """The result of one step of the deciding thread."""
 
     DONE = 1
-    # The store has not confirmed the append; the next step tries again.
+    # The store has not confirmed the append; the next step retries it.
     STALLED = 2
     DEPOSED = 3
--- a/packages/scheduler/portwharf/scheduler/history.py
+++ b/packages/scheduler/portwharf/scheduler/history.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Past decisions, for ``explain``."""
+"""A bounded history of past decisions, for ``explain``."""
 
 import collections
 
@@ -8,21 +8,21 @@
 from portwharf.core import ids
 from portwharf.scheduler import events
 
-# Bytes of past decisions that are kept for ``explain``.
 HISTORY_BYTES = 2_000_000
-_ROW_OVERHEAD = 120
+# Memory that each row needs besides its encoded decision.
+_ROW_OVERHEAD_BYTES = 120
 
 
 class History:
-    """Past decisions, oldest first, within a budget of bytes."""
+    """Past decisions, oldest first, in a limited amount of memory."""
 
-    def __init__(self, budget=HISTORY_BYTES):
-        self._budget = budget
+    def __init__(self, max_bytes=HISTORY_BYTES):
+        self._max_bytes = max_bytes
         self._rows = collections.deque()
-        self._size = 0
+        self._bytes = 0
 
     def add(self, decision):
-        """Keep a decision, dropping the oldest if there is no room."""
+        """Add a decision; drop the oldest ones that exceed the limit."""
         self._add_row(decision.subject, codec.pack(decision))
 
     def find(self, subject):
@@ -35,18 +35,18 @@
         ]
 
     def pack(self):
-        """Return all decisions, packed."""
+        """Return all decisions as a list of encoded ones."""
         return [raw for _, raw in self._rows]
 
     def load(self, rows):
-        """Take back what :meth:`pack` gave."""
+        """Add decisions that were returned by :meth:`pack`."""
         for raw in rows:
             decision = codec.unpack(events.Decision, raw)
             self._add_row(decision.subject, raw)
 
     def _add_row(self, subject, raw):
         self._rows.append((subject, raw))
-        self._size += len(raw) + _ROW_OVERHEAD
-        while self._size > self._budget:
+        self._bytes += len(raw) + _ROW_OVERHEAD_BYTES
+        while self._bytes > self._max_bytes:
             _, old = self._rows.popleft()
-            self._size -= len(old) + _ROW_OVERHEAD
+            self._bytes -= len(old) + _ROW_OVERHEAD_BYTES
--- a/packages/scheduler/portwharf/scheduler/pairing.py
+++ b/packages/scheduler/portwharf/scheduler/pairing.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What an owner knows of pairs of images, and when it tells its sides.
+"""What an owner knows about interference between pairs of images.
 
-Links' threads bring in what sides know and observe; the deciding thread
-passes on what is new, now and then.
+The threads of links add what sides report; the deciding thread sends changes
+to all sides at a limited rate.
 """
 
 import threading
@@ -11,44 +11,44 @@
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import presses
 
-# Between two updates to all sides, in seconds: one carries all pairs.
-TELL_SECONDS = 0.5
+# Between two updates to all sides. An update carries every pair.
+UPDATE_INTERVAL_SECONDS = 0.5
 
 
 class Pairing:
-    """The pairs of one owner, for all of its threads."""
+    """One owner's knowledge of pairs; safe to use from all its threads."""
 
     def __init__(self):
         self.presses = presses.Presses()
         self._lock = threading.Lock()
-        self._news = False
-        self._next = 0.0
+        self._has_changes = False
+        self._next_update = 0.0
 
     def adopt(self, known):
-        """Begin with what a former owner has told a side.
+        """Take over what a previous owner sent to a side.
 
         :param known: list of ``messages.Press``
         """
         with self._lock:
             self.presses.adopt(known)
-            self._news = True
+            self._has_changes = True
 
     def learn(self, observed):
-        """Learn from a side's list of ``messages.PressObserved``."""
+        """Add a side's observations, a list of ``messages.PressObserved``."""
         with self._lock:
             for one in observed:
                 self.presses.learn(one)
-            self._news = True
+            self._has_changes = True
 
     def make_update(self):
-        """Return all that is known, as a ``messages.PressUpdate``."""
+        """Return all known pairs as a ``messages.PressUpdate``."""
         with self._lock:
             return messages.PressUpdate(self.presses.list_all())
 
     def take_news(self, now):
-        """Return what to tell all sides now, or None."""
-        if now < self._next or not self._news:
+        """Return the update that is due for all sides, or None."""
+        if now < self._next_update or not self._has_changes:
             return None
-        self._next = now + TELL_SECONDS
-        self._news = False
+        self._next_update = now + UPDATE_INTERVAL_SECONDS
+        self._has_changes = False
         return self.make_update()
--- a/packages/scheduler/portwharf/scheduler/pairing_test.py
+++ b/packages/scheduler/portwharf/scheduler/pairing_test.py
@@ -24,5 +24,7 @@
     made.adopt([PRESS])
     made.take_news(1.0)
     made.adopt([messages.Press('desk', 'other', 1.0, 0.5)])
-    case.assertIsNone(made.take_news(1.0 + pairing.TELL_SECONDS / 2))
-    case.assertIsNotNone(made.take_news(1.0 + pairing.TELL_SECONDS))
+    case.assertIsNone(
+        made.take_news(1.0 + pairing.UPDATE_INTERVAL_SECONDS / 2)
+    )
+    case.assertIsNotNone(made.take_news(1.0 + pairing.UPDATE_INTERVAL_SECONDS))
--- a/packages/scheduler/portwharf/scheduler/state_test.py
+++ b/packages/scheduler/portwharf/scheduler/state_test.py
@@ -131,7 +131,7 @@
 
 
 def test_history_stays_in_its_budget(case):
-    past = history.History(budget=10_000)
+    past = history.History(max_bytes=10_000)
     for number in range(1000):
         past.add(events.Decision(number, 'placed', f'0-job.{number}'))
     kept = past.find(JOB)
