--- a/packages/scheduler/portwharf/scheduler/crashloop.py
+++ b/packages/scheduler/portwharf/scheduler/crashloop.py
@@ -1,11 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Gives up tasks that crash the workers that start them, and clears others.
+"""Fails tasks that crash the workers that start them, and clears others.
 
-An attempt that goes with its worker is no failure of its task: VMs are lost
-every day. But a task that crashes each worker is begun for ever if nobody
-counts, and takes down all that runs beside it each time. What is counted, and
-how much is enough, is in :mod:`portwharf.scheduler.suspects`.
+An attempt that is lost with its worker doesn't count as a failure of its
+task, because VMs are lost every day. Without a separate count, a task that
+crashes every worker would be restarted forever and would take down everything
+beside it each time. :mod:`portwharf.scheduler.suspects` defines what is
+counted and when a task is given up.
 """
 
 from portwharf.core import data
@@ -19,7 +20,7 @@
 
 
 class CrashLoops:
-    """The suspects of one owner; for its deciding thread."""
+    """Tracks one owner's suspects; used only by its deciding thread."""
 
     def __init__(self, clock, state, members):
         """Take the shard's state and its ``membership.Membership``."""
@@ -27,79 +28,79 @@
         self._state = state
         self._members = members
         self._times = suspects.CrashTimes(clock.read_monotonic())
-        # When each attempt of a suspect was told to run, by (task, attempt).
-        self._since = {}
-        # Attempts that were begun in calm, to see whether they crash again.
-        self._tried = set()
-        # Tasks that a worker crashed under, as told in this pass.
+        # When suspects' attempts were reported as running, by (task, attempt).
+        self._running_since = {}
+        # (task, attempt) of attempts that were started as trials.
+        self._trials = set()
+        # Tasks whose workers crashed, as reported in this pass.
         self._crashed = []
 
     def take_report(self, vm, report):
-        """Take a ``messages.TaskReport`` that the state has taken."""
+        """Process a ``messages.TaskReport``, after the state has."""
         now = self._clock.read_monotonic()
         if report.crash:
-            self._times.note(suspects.name_crash(vm, report.crash), now)
+            self._times.record(suspects.make_crash_name(vm, report.crash), now)
         if report.task not in self._state.suspects:
             return
         if report.crash:
             self._crashed.append(self._state.tasks[report.task])
         elif report.state == data.RunState.RUNNING:
             name = (report.task, report.attempt)
-            self._since.setdefault(name, now)
+            self._running_since.setdefault(name, now)
 
     def judge(self, batch, add, note_ended):
-        """Give up or clear what there is reason to.
+        """Give up or clear suspects.
 
-        After all reports of a pass: which task stands out is known only with
-        all that a crash has ended.
+        Must be called after all reports of a pass: suspects can be compared
+        only once every task that a crash ended has been counted.
 
         :param add: function of a batch and an event that applies the event
-        :param note_ended: function of an event and a batch, for what follows
-            from a task's end
+        :param note_ended: function of an event and a batch that handles the
+            end of a task
         """
         crashed, self._crashed = self._crashed, []
         for task in crashed:
             if len(task.crashes) >= suspects.SUSPICIOUS:
                 decisionlog.log_suspect(task)
         for task in list(self._state.suspects.values()):
-            if self._judge_task(task) is suspects.Verdict.GIVE_UP:
+            if self._assess(task) is suspects.Verdict.GIVE_UP:
                 ended = self._give_up(task, batch, add)
                 note_ended(ended, batch)
-        for task in self._find_cleared():
+        for task in self._list_cleared():
             decisionlog.log_cleared(task)
             add(batch, events.TaskCleared(task.id))
         metrics.SUSPECTS.set(len(self._state.suspects))
 
     def list_held(self):
-        """Return the ids of tasks that are not to be placed now."""
+        """Return the ids of tasks that must not be placed now."""
         return {
             task.id
             for task in self._state.suspects.values()
-            if self._judge_task(task) is suspects.Verdict.WAIT
+            if self._assess(task) is suspects.Verdict.HOLD
         }
 
     def mark_unsteady(self, views):
-        """Mark the VMs whose workers have crashed lately.
+        """Mark the VMs whose workers crashed recently.
 
         :param views: list of ``vmview.VmView``
         """
         now = self._clock.read_monotonic()
-        unsteady = self._times.list_unsteady(now)
+        unstable = self._times.list_unstable_vms(now)
         for view in views:
-            view.unsteady = view.vm.name in unsteady
+            view.unsteady = view.vm.name in unstable
 
     def note_placed(self, task):
-        """Note that a task is begun; as a trial, if it was held back."""
+        """Record the placement of a task, as a trial if it is a suspect."""
         if len(task.crashes) >= suspects.SUSPICIOUS:
-            self._tried.add((task.id, task.attempt))
+            self._trials.add((task.id, task.attempt))
 
-    def _judge_task(self, task):
+    def _assess(self, task):
         now = self._clock.read_monotonic()
-        tried = (task.id, task.attempt) in self._tried
-        return suspects.judge(self._state, task, self._times, tried, now)
+        is_trial = (task.id, task.attempt) in self._trials
+        return suspects.assess(self._state, task, self._times, is_trial, now)
 
     def _give_up(self, task, batch, add):
-        """End a task; returns its ``events.TaskEnded``."""
+        """Fail a task; returns its ``events.TaskEnded``."""
         decisionlog.log_given_up(task)
         metrics.GIVEN_UP.inc()
         self._times.forget(one.name for one in task.crashes)
@@ -111,25 +112,25 @@
         add(batch, ended)
         return ended
 
-    def _find_cleared(self):
-        """Return the suspects that have kept at work for long.
+    def _list_cleared(self):
+        """Return the suspects that have run beyond their startup.
 
-        What a silent VM runs may have ended long ago.
+        Tasks of silent VMs are left out because they may have ended long ago.
         """
         now = self._clock.read_monotonic()
         known = {
             (task.id, task.attempt): task
             for task in self._state.suspects.values()
         }
-        self._tried.intersection_update(known)
-        self._since = {
+        self._trials.intersection_update(known)
+        self._running_since = {
             name: since
-            for name, since in self._since.items()
+            for name, since in self._running_since.items()
             if name in known and known[name].vm
         }
         return [
             known[name]
-            for name, since in self._since.items()
-            if (now - since) * _MS > suspects.YOUNG_MS
+            for name, since in self._running_since.items()
+            if (now - since) * _MS > suspects.STARTUP_MS
             and not self._members.is_silent(known[name].vm, now)
         ]
--- a/packages/scheduler/portwharf/scheduler/decisionlog.py
+++ b/packages/scheduler/portwharf/scheduler/decisionlog.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The lines that an owner logs, one for each decision about a job.
+"""Logs an owner's decisions about jobs and their tasks.
 
-A job can be followed by its id: it is accepted, its steps are placed, an
-attempt ends badly, is moved or lost, and the job ends. The volume is bound
-by jobs and VMs, not by tasks that go well.
+A job can be traced by its id through all lines: its acceptance, placements,
+failed, evicted and lost attempts, and its end. Tasks that succeed are
+combined into one line for each workload and VM to limit the volume.
 """
 
 import collections
@@ -18,21 +18,22 @@
 
 LOG = logging.getLogger(__name__)
 
-# A workload that waits for longer than this has a line.
-WAIT_SECONDS = 1.0
-_GOOD_STATES = (data.RunState.RUNNING, data.RunState.SUCCEEDED)
+# Workloads that wait for less are not logged.
+LONG_WAIT_SECONDS = 1.0
+_UNLOGGED_STATES = (data.RunState.RUNNING, data.RunState.SUCCEEDED)
 
 
-def log_submission(step, job):
-    """Log what became of a submission.
+def log_submission(outcome, job):
+    """Log the acceptance or refusal of a job.
 
-    :param step: Ok(``operations.Step``), or Err(Problem)
+    :param outcome: Ok(``operations.CallOutcome``), or Err(Problem)
+    :param job: the ``data.Job`` that was submitted
     """
-    if step.is_err():
-        reason = step.err_value.describe()
+    if outcome.is_err():
+        reason = outcome.err_value.describe()
         extra = logs.fields(request=job.id, reason=reason)
         LOG.info('job refused', extra=extra)
-    elif step.ok_value.answer.created:
+    elif outcome.ok_value.answer.created:
         tasks = sum(one.count for one in job.steps)
         extra = logs.fields(
             request=job.id,
@@ -44,9 +45,10 @@
 
 
 def log_job_end(record, ended, now_ms):
-    """Log that a job is over, and how long it took.
+    """Log that a job has ended, and how long it took.
 
     :param record: a ``state.JobRecord``
+    :param ended: its ``data.JobState``
     """
     took_ms = now_ms - record.unix_ms
     extra = logs.fields(request=record.job.id, state=ended, took_ms=took_ms)
@@ -54,7 +56,10 @@
 
 
 def log_placements(placements):
-    """Log where the tasks of each workload went in one pass."""
+    """Log one pass's placements, a line for each workload and VM.
+
+    :param placements: list of ``placement.Placement``
+    """
     rows = collections.defaultdict(list)
     for placed in placements:
         workload = ids.split_task_id(placed.task)
@@ -70,11 +75,11 @@
 
 
 def log_successes(vm, taken, find_run_ms):
-    """Log the attempts of each workload that ended well, as one VM told.
+    """Log a VM's successful attempts, one line for each workload.
 
-    :param taken: the events that follow from what it told
-    :param find_run_ms: gives for a workload's id how long its tasks run at
-        full pace, as measured, or None
+    :param taken: the events that follow from the VM's reports
+    :param find_run_ms: function of a workload's id that returns the measured
+        run time of its tasks at full speed, or None
     """
     rows = collections.defaultdict(list)
     for event in taken:
@@ -93,9 +98,9 @@
         LOG.info('succeeded', extra=extra)
 
 
-def log_end(vm, report):
-    """Log an attempt that ended otherwise than well."""
-    if report.state in _GOOD_STATES:
+def log_attempt_end(vm, report):
+    """Log an attempt that ended without success."""
+    if report.state in _UNLOGGED_STATES:
         return
     extra = logs.fields(
         task=report.task,
@@ -110,59 +115,61 @@
 
 
 def log_eviction(task, reason):
-    """Log that an attempt is saved and stopped."""
+    """Log that an attempt is checkpointed and stopped."""
     extra = logs.fields(
         task=task.id, attempt=task.attempt, vm=task.vm, reason=reason
     )
     LOG.info('evicting', extra=extra)
 
 
-def log_loss(task, vm):
-    """Log that an attempt is given up with its VM."""
+def log_lost_attempt(task, vm):
+    """Log that an attempt is given up because its VM is lost."""
     extra = logs.fields(task=task.id, attempt=task.attempt, vm=vm)
     LOG.warning('lost with its VM', extra=extra)
 
 
 def log_suspect(task):
-    """Log that a worker crashed under a task, for the second time or more."""
+    """Log the second or a later crash of a task's workers."""
     extra = logs.fields(
         task=task.id, attempt=task.attempt, count=len(task.crashes)
     )
-    LOG.warning('under suspicion of crashing its workers', extra=extra)
+    LOG.warning('task suspected of crashing its workers', extra=extra)
 
 
 def log_cleared(task):
-    """Log that a suspect has kept at work."""
+    """Log that a suspect is cleared, as it runs past its startup."""
     extra = logs.fields(task=task.id, attempt=task.attempt, vm=task.vm)
-    LOG.info('cleared of crashing its workers', extra=extra)
+    LOG.info('task cleared of crashing its workers', extra=extra)
 
 
 def log_given_up(task):
-    """Log that a task is given up, as it crashes its workers."""
+    """Log that a task is failed because it crashes its workers."""
     extra = logs.fields(
         task=task.id, attempt=task.attempt, count=len(task.crashes)
     )
-    LOG.warning('given up: crashes its workers', extra=extra)
+    LOG.warning('task given up: crashes its workers', extra=extra)
 
 
 class WaitLog:
-    """The lines about workloads that wait for a place, one an episode."""
+    """Logs workloads that wait for long, once for each wait."""
 
     def __init__(self):
-        self._since = {}
-        self._told = set()
+        self._waiting_since = {}
+        self._logged = set()
 
-    def note(self, waiting, now):
-        """Take what waits after a pass, and tell of what has for long.
+    def update(self, waiting, now):
+        """Update what waits after a pass, and log new long waits.
 
         :param waiting: map of a workload's id to its ``placement.Waiting``
         """
-        self._since = {name: self._since.get(name, now) for name in waiting}
-        self._told &= set(waiting)
-        for name, since in self._since.items():
-            if name in self._told or now - since < WAIT_SECONDS:
+        self._waiting_since = {
+            name: self._waiting_since.get(name, now) for name in waiting
+        }
+        self._logged &= set(waiting)
+        for name, since in self._waiting_since.items():
+            if name in self._logged or now - since < LONG_WAIT_SECONDS:
                 continue
-            self._told.add(name)
+            self._logged.add(name)
             one = waiting[name]
             counts = one.choice.list_refusals() if one.choice else []
             texts = [f'{count.name} {count.number}' for count in counts]
@@ -172,9 +179,9 @@
 
 
 def _find_due_ms(job):
-    """Return within how many ms a job should end, None if it lasts.
+    """Return the objective of a batch job in ms, None for other jobs.
 
-    By its client's estimates: what is learnt of run times changes.
+    Uses the client's estimates of run times, because measured ones change.
     """
     if any(step.kind != data.Kind.BATCH for step in job.steps):
         return None
@@ -183,7 +190,10 @@
 
 
 def _describe_attempts(names):
-    """Return attempts of one workload as text, as in ``0.1,3.2``."""
+    """Return a workload's attempts as text: ``0.1,3.2``.
+
+    :param names: list of (task id, attempt)
+    """
     parts = []
     for task, attempt in names:
         number = task.rpartition(ids.TASK_SEPARATOR)[2]
--- a/packages/scheduler/portwharf/scheduler/decisionlog_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisionlog_test.py
@@ -42,9 +42,9 @@
     waits = {'a.0.0': placement.Waiting(None, 'no-room', choice)}
     with case.assertLogs(LOGGER) as watched:
         for now in (0.0, 0.5, 1.0, 1.5):
-            log.note(waits, now)
-        log.note({}, 2.0)
+            log.update(waits, now)
+        log.update({}, 2.0)
         for now in (3.0, 4.0):
-            log.note(waits, now)
+            log.update(waits, now)
     told = [(one.workload, one.reason) for one in watched.records]
     case.assertEqual(told, [('a.0.0', 'no-room, processors 3')] * 2)
--- a/packages/scheduler/portwharf/scheduler/desk.py
+++ b/packages/scheduler/portwharf/scheduler/desk.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Where an owner answers operators: each call in its caller's thread.
+"""Handles operators' calls to an owner, each in its caller's thread.
 
-Calls that read are answered from the state, under the owner's lock. Calls
-that change something are queued for the deciding thread and answered once
-they are in the log; while the store does not answer they are refused.
+Read calls are answered from the state, under the owner's lock. Write calls
+are queued for the deciding thread and answered once their events are logged;
+while the store is down they are refused.
 """
 
 import concurrent.futures
@@ -19,7 +19,7 @@
 from portwharf.scheduler import job_operations
 from portwharf.scheduler import operations
 
-OPERATION_SECONDS = 8.0
+OPERATION_TIMEOUT_SECONDS = 8.0
 READS = {
     'list-workloads': operations.Query,
     'list-tasks': operations.Query,
@@ -38,25 +38,32 @@
 
 
 class Desk:
-    """The operators' calls of one owner."""
+    """Handles the operators' calls to one owner."""
 
-    def __init__(self, env, owner, lock, state, members, decisions):
-        """Take the owner, its lock, and what it knows."""
+    def __init__(self, env, owner, lock, state, members, decider):
+        """Take the owner's parts.
+
+        :param lock: guards the state and what else the deciding thread uses
+        :param state: the ``state.ShardState``
+        :param members: the ``membership.Membership``
+        :param decider: the ``decider.Decider``
+        """
         self._env = env
         self._owner = owner
         self._lock = lock
         self._state = state
         self._members = members
-        self._decider = decisions
+        self._decider = decider
 
     def operate(self, operation):
-        """Carry out an operator's call.
+        """Execute an operator's call.
 
+        :param operation: a ``messages.Operation``
         :returns: a ``messages.OperationResult``
         """
         method = operation.method
         if not self._owner.is_confirmed():
-            # Another may own the shard, and know what this one does not.
+            # Another owner may have taken over and changed the state.
             return messages.OperationResult(operation.id, 'not-owner')
         if method in READS:
             arguments = operations.read_arguments(
@@ -72,15 +79,15 @@
             answer = arguments.and_then(lambda call: self._write(method, call))
         else:
             problem = data.Problem('unknown-method', 'method', method)
-            return _refuse(operation, problem)
+            return _make_refusal(operation, problem)
         if answer.is_err():
-            return _refuse(operation, answer.err_value)
-        return _answer(operation, answer.ok_value)
+            return _make_refusal(operation, answer.err_value)
+        return _make_result(operation, answer.ok_value)
 
     def _read(self, method, query):
-        """Answer a reading call from the state.
+        """Answer a read call from the state.
 
-        :returns: Ok(a plain class of ``operations``), or Err(Problem)
+        :returns: Ok(a data class of ``operations``), or Err(Problem)
         """
         with self._lock:
             if method == 'list-workloads':
@@ -105,36 +112,40 @@
             return result.Ok(self._report_shard(views))
 
     def _view_job(self, job_id):
-        """Return a job as it may be shown.
+        """Return the ``job_operations.JobView`` of a job.
 
-        An end that a later owner would not know is not shown yet.
+        A job's end is not shown before it is logged, as the next owner would
+        not know of it.
         """
         found = self._state.find_job_state(job_id)
-        if job_id in self._decider.unlogged:
+        if job_id in self._decider.unlogged_job_ends:
             found = data.JobState.RUNNING
         return job_operations.JobView(job_id, str(found or ''))
 
     def _write(self, method, call):
-        """Have a changing call carried out and wait until it is logged.
+        """Queue a write call and wait until it is logged.
 
-        :returns: Ok(a plain class of ``operations``), or Err(Problem)
+        :returns: Ok(a data class of ``operations``), or Err(Problem)
         """
         if not self._owner.takes_calls():
-            return result.Err(describe_stall())
+            return result.Err(make_stalled_problem())
         called = batches.Called(concurrent.futures.Future(), method, call)
         self._owner.take_call(called)
         try:
-            answer = called.fut.result(OPERATION_SECONDS)
+            answer = called.fut.result(OPERATION_TIMEOUT_SECONDS)
         except concurrent.futures.TimeoutError:
             if called.fut.cancel():
-                return result.Err(describe_stall())
-            return result.Err(_describe_unknown())
+                return result.Err(make_stalled_problem())
+            return result.Err(_make_unknown_outcome())
         if isinstance(answer, data.Problem):
             return result.Err(answer)
         return result.Ok(answer)
 
     def _report_shard(self, views):
-        """Return what operators see of the shard."""
+        """Return the shard's ``operations.ShardReport``.
+
+        :param views: list of ``vmview.VmView``
+        """
         report = operations.ShardReport(
             self._env.shard,
             self._env.name,
@@ -163,22 +174,25 @@
         return report
 
 
-def _answer(operation, value):
+def _make_result(operation, value):
     return messages.OperationResult(operation.id, 'ok', codec.pack(value))
 
 
-def _refuse(operation, problem):
+def _make_refusal(operation, problem):
     status = 'unknown' if problem.code == 'outcome-unknown' else 'refused'
     return messages.OperationResult(operation.id, status, problems=[problem])
 
 
 def refuse_call(called):
-    """Answer a call that has not been carried out, unless its caller left."""
+    """Refuse a queued call unless its caller has given up.
+
+    :param called: a ``batches.Called``
+    """
     if called.fut.set_running_or_notify_cancel():
-        called.fut.set_result(describe_stall())
+        called.fut.set_result(make_stalled_problem())
 
 
-def describe_stall():
+def make_stalled_problem():
     return data.Problem(
         'not-accepted',
         text="the platform's store does not answer; nothing was changed",
@@ -186,7 +200,7 @@
     )
 
 
-def _describe_unknown():
+def _make_unknown_outcome():
     return data.Problem(
         'outcome-unknown',
         text='the store has not confirmed the change; it may be in force',
--- a/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
@@ -55,7 +55,7 @@
         case,
         jobs_test.test_lost_attempts_do_not_count_as_failures,
         reconcile,
-        '_is_last_try',
+        '_is_final_attempt',
         lambda task, workload: task.attempt >= workload.max_failures,
     )
 
@@ -65,7 +65,7 @@
         case,
         jobs_test.test_job_fails_only_with_its_last_attempt,
         reconcile,
-        '_is_last_try',
+        '_is_final_attempt',
         lambda task, workload: False,
     )
 
@@ -75,7 +75,7 @@
         case,
         jobs_test.test_what_nobody_wants_is_stopped_when_it_is_not_listed,
         reconcile,
-        'make_catch_up',
+        'make_missing_command',
         reconcile.make_start,
     )
 
@@ -95,14 +95,14 @@
 def test_ends_shown_before_they_are_logged(case):
     def note(self, event, batch):
         original(self, event, batch)
-        self.unlogged.clear()
+        self.unlogged_job_ends.clear()
 
-    original = decider.Decider._note_ended
+    original = decider.Decider._handle_task_end
     check(
         case,
         jobs_test.test_end_is_not_shown_before_it_is_in_the_log,
         decider.Decider,
-        '_note_ended',
+        '_handle_task_end',
         note,
     )
 
--- a/packages/scheduler/portwharf/scheduler/job_operations.py
+++ b/packages/scheduler/portwharf/scheduler/job_operations.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Clients' calls about jobs as a shard's owner carries them out.
+"""Executes clients' calls about jobs for a shard's owner.
 
-As in :mod:`portwharf.scheduler.operations`: a call that changes something
-gives events, and is answered once they are in the log.
+As in :mod:`portwharf.scheduler.operations`, a call that changes state produces
+events and is answered once they are logged.
 """
 
 import dataclasses
@@ -18,16 +18,16 @@
 
 @dataclasses.dataclass(slots=True)
 class JobSubmission:
-    """A job to accept, once for each id."""
+    """Arguments of ``submit-job``."""
 
     job: data.Job = dataclasses.field(default_factory=data.Job)
 
 
 @dataclasses.dataclass(slots=True)
 class JobView:
-    """A job as it is shown.
+    """Answer to ``read-job``.
 
-    :param state: one of ``data.JobState``, or '' if it is not known
+    :param state: one of ``data.JobState``, or '' if the job is unknown
     """
 
     id: str = ''
@@ -36,46 +36,48 @@
 
 @dataclasses.dataclass(slots=True)
 class Pending:
-    """How many accepted jobs of a queue have not begun."""
+    """Answer to ``count-pending``: how many jobs have not started."""
 
     count: int = 0
 
 
 def submit_job(state, call, now_ms):
-    """Accept a job, once for each id.
+    """Accept a job; submitting the same id again changes nothing.
 
-    :returns: Ok(Step), or Err(Problem)
+    :returns: Ok(CallOutcome), or Err(Problem)
     """
     if call.job.id in state.jobs:
         return result.Ok(
-            operations.Step(answer=operations.Accepted(call.job.id))
+            operations.CallOutcome(answer=operations.Accepted(call.job.id))
         )
     problem = jobs.find_problem(call.job)
     if problem is not None:
         return result.Err(problem)
-    step = operations.Step(answer=operations.Accepted(call.job.id, True))
-    operations.add_event(state, step, events.JobAccepted(now_ms, call.job))
-    return result.Ok(step)
+    outcome = operations.CallOutcome(
+        answer=operations.Accepted(call.job.id, True)
+    )
+    operations.add_event(state, outcome, events.JobAccepted(now_ms, call.job))
+    return result.Ok(outcome)
 
 
 def cancel_job(state, job_id):
-    """Cancel a job; doing it twice changes nothing more.
+    """Cancel a job; cancelling it again changes nothing.
 
-    :returns: Ok(Step), or Err(Problem)
+    :returns: Ok(CallOutcome), or Err(Problem)
     """
     record = state.jobs.get(job_id)
     if record is None:
-        return result.Err(operations.describe_unknown(job_id))
-    step = operations.Step(answer=operations.Cancelled())
+        return result.Err(operations.make_unknown_id(job_id))
+    outcome = operations.CallOutcome(answer=operations.Cancelled())
     if not record.cancelled:
-        operations.add_event(state, step, events.JobCancelled(job_id))
-    step.stop = list_held(state, record)
-    step.answer.tasks = len(step.stop)
-    return result.Ok(step)
+        operations.add_event(state, outcome, events.JobCancelled(job_id))
+    outcome.stop = list_held(state, record)
+    outcome.answer.tasks = len(outcome.stop)
+    return result.Ok(outcome)
 
 
 def list_held(state, record):
-    """Return the tasks of a job that belong to a VM."""
+    """Return the tasks of a job that are assigned to a VM."""
     return [
         task
         for name in record.steps
@@ -85,7 +87,7 @@
 
 
 def count_pending(state, queue):
-    """Return how many jobs of a queue, '' for all, have not begun."""
+    """Return the :class:`Pending` jobs of a queue, '' for all queues."""
     count = sum(
         1
         for record in state.jobs.values()
--- a/packages/scheduler/portwharf/scheduler/jobs.py
+++ b/packages/scheduler/portwharf/scheduler/jobs.py
@@ -1,27 +1,27 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""How a job's steps become workloads, and how long their chains take.
+"""Expands jobs into workloads, validates them, computes their deadlines.
 
-A job is a graph: a step begins when all tasks of the steps before it have
-succeeded. Each step is a workload of its own, so that placement, limits,
-recovery and ``explain`` treat it as any other; a job that is run several
-times has a workload for each step and time.
+The steps of a job form a directed acyclic graph: a step becomes ready when all
+tasks of the steps that it depends on have succeeded. Each step is a workload,
+so that placement, limits, recovery and ``explain`` need no special cases; a
+recurring job has a workload for each step of each occurrence.
 """
 
 import dataclasses
 
 from portwharf.core import data
 
-# A job that takes this many times its objective is too late to matter.
+# A job that takes this many times its objective is of no use any more.
 LATE_FACTOR = 3
-# Importance of the first rank; each next one counts this much less.
-_FIRST_IMPORTANCE = 900
-_RANK_STEP = 100
+# Importance of a job of rank 0, and how much less each further rank has.
+_TOP_RANK_IMPORTANCE = 900
+_IMPORTANCE_PER_RANK = 100
 
 
 @dataclasses.dataclass(slots=True)
-class Step:
-    """One step at one time, as the fields of a workload's record."""
+class StepRecord:
+    """One step of one occurrence, with the fields of a workload record."""
 
     id: str = ''
     key: str = ''
@@ -30,72 +30,75 @@
     not_before_ms: int = 0
 
 
-def list_fields(step):
-    """Return a step's fields by their names."""
+def to_fields(step):
+    """Return the fields of a step record as a dict by name."""
     return {
         field.name: getattr(step, field.name)
         for field in dataclasses.fields(step)
     }
 
 
-def make_step_id(job_id, time, number):
-    """Return the id of the workload of a step at one time."""
-    return f'{job_id}.{time}.{number}'
+def make_step_id(job_id, occurrence, number):
+    """Return the workload id of a step of one occurrence."""
+    return f'{job_id}.{occurrence}.{number}'
 
 
 def split_step_id(name):
-    """Return job, time and number of a step's workload, by its id."""
-    job_id, time, number = name.rsplit('.', 2)
-    return job_id, int(time), int(number)
+    """Return the job id, occurrence and step number of a workload id."""
+    job_id, occurrence, number = name.rsplit('.', 2)
+    return job_id, int(occurrence), int(number)
 
 
-def make_steps(job, time, unix_ms):
-    """Return the :class:`Step` values of one of a job's times.
+def make_steps(job, occurrence, unix_ms):
+    """Return the :class:`StepRecord` values of one occurrence of a job.
 
+    :param occurrence: number of the occurrence, from 0
     :param unix_ms: when the job was accepted
     """
-    begins = unix_ms
+    start_ms = unix_ms
     if job.times:
-        begins = job.first_ms + time * job.interval_ms
+        start_ms = job.first_ms + occurrence * job.interval_ms
     made = []
     for number, step in enumerate(job.steps):
-        name = make_step_id(job.id, time, number)
-        after = [make_step_id(job.id, time, int(n)) for n in step.after]
-        importance = max(0, _FIRST_IMPORTANCE - _RANK_STEP * job.rank)
+        name = make_step_id(job.id, occurrence, number)
+        after = [make_step_id(job.id, occurrence, int(n)) for n in step.after]
+        importance = max(
+            0, _TOP_RANK_IMPORTANCE - _IMPORTANCE_PER_RANK * job.rank
+        )
         workload = dataclasses.replace(
             step, name=name, job=job.id, after=after, importance=importance
         )
         made.append(
-            Step(
+            StepRecord(
                 name,
                 name,
                 unix_ms,
                 workload,
-                begins if job.times else 0,
+                start_ms if job.times else 0,
             )
         )
     return made
 
 
 def measure_chains(steps, run_ms=None):
-    """Return for each step how long it and what comes after it takes.
+    """Return how long the longest path from each step on takes.
 
     :param run_ms: how long a task of each step runs; by default as estimated
-    :returns: list of milliseconds
+    :returns: list of milliseconds, the step itself included
     """
     run_ms = run_ms or [step.run_ms for step in steps]
     chains = list(run_ms)
     for number in reversed(range(len(steps))):
-        for before in steps[number].after:
-            longest = run_ms[int(before)] + chains[number]
-            chains[int(before)] = max(chains[int(before)], longest)
+        for dependency in steps[number].after:
+            longest = run_ms[int(dependency)] + chains[number]
+            chains[int(dependency)] = max(chains[int(dependency)], longest)
     return chains
 
 
 def find_objective(job, chain_ms):
-    """Return within how many ms a job should end.
+    """Return the time in ms within which a job should end.
 
-    :param chain_ms: how long its longest chain of work takes
+    :param chain_ms: length of the job's critical path
     """
     if not job.stretch:
         return job.objective_ms
@@ -103,22 +106,22 @@
 
 
 def find_problem(job):
-    """Return the ``data.Problem`` of a job that cannot be accepted."""
+    """Return why a job is not valid, as ``data.Problem``, or None."""
     if not job.id or not job.steps:
-        return _describe(job, 'id', job.id, 'a job needs an id and steps')
+        return _make_problem(job, 'id', job.id, 'a job needs an id and steps')
     for number, step in enumerate(job.steps):
         field = f'steps.{number}'
         if step.count < 1:
             text = 'must be at least 1'
-            return _describe(job, f'{field}.count', str(step.count), text)
-        for before in step.after:
-            if not before.isdigit() or int(before) >= number:
+            return _make_problem(job, f'{field}.count', str(step.count), text)
+        for dependency in step.after:
+            if not dependency.isdigit() or int(dependency) >= number:
                 text = 'must be the number of an earlier step'
-                return _describe(job, f'{field}.after', before, text)
+                return _make_problem(job, f'{field}.after', dependency, text)
     return None
 
 
-def _describe(job, field, value, text):
+def _make_problem(job, field, value, text):
     return data.Problem(
-        'bad-job', field, value, text, f'mend it and submit {job.id} again'
+        'bad-job', field, value, text, f'correct it and submit {job.id} again'
     )
--- a/packages/scheduler/portwharf/scheduler/jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/jobs_test.py
@@ -111,10 +111,10 @@
     made = accept()
     made.apply(events.TaskPlaced(f'{FIRST}.0', 1, 'vm-1'))
     task = made.tasks[f'{FIRST}.0']
-    command = reconcile.make_catch_up(made, task)
+    command = reconcile.make_missing_command(made, task)
     case.assertIsInstance(command, messages.StartTask)
     made.apply(events.JobCancelled(ID))
-    command = reconcile.make_catch_up(made, task)
+    command = reconcile.make_missing_command(made, task)
     case.assertIsInstance(command, messages.StopTask)
 
 
--- a/packages/scheduler/portwharf/scheduler/operations.py
+++ b/packages/scheduler/portwharf/scheduler/operations.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Operators' calls as a shard's owner carries them out.
+"""Executes operators' calls for a shard's owner.
 
-A call that changes something gives events; it is answered once they are
-in the log. A call that reads is answered from the state at once. Answers
-and arguments are the plain classes below, packed for the entry that asked.
+A call that changes state produces events and is answered once they are logged.
+A call that reads is answered from the state at once. Arguments and answers are
+the data classes below, which the entry and the owner exchange.
 """
 
 import dataclasses
@@ -20,7 +20,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Submission:
-    """A workload to accept, under the operator's key or its own name."""
+    """A workload to accept.
+
+    :param key: idempotency key; the workload's own key if it is ''
+    """
 
     key: str = ''
     workload: data.Workload = dataclasses.field(default_factory=data.Workload)
@@ -28,7 +31,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Change:
-    """New count and importance of a workload."""
+    """A workload's id, and its new version.
+
+    Only count and importance may differ from the current version.
+    """
 
     id: str = ''
     workload: data.Workload = dataclasses.field(default_factory=data.Workload)
@@ -36,9 +42,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Query:
-    """Names what a call is about; fields that a call does not use are ''.
+    """Selects the objects of a call; each call uses some of the fields.
 
     :param kind: one of ``data.Kind``, 0 for all
+    :param team: '' for all
     """
 
     id: str = ''
@@ -48,7 +55,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Accepted:
-    """The id of a workload and whether this call made it."""
+    """The id of a workload and whether this call created it."""
 
     id: str = ''
     created: bool = False
@@ -56,14 +63,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Cancelled:
-    """How many tasks had not ended when they were cancelled."""
+    """The number of tasks that a call has cancelled."""
 
     tasks: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class WorkloadView:
-    """A workload and how far it has come."""
+    """A workload and how many of its tasks are in each state.
+
+    :param unplaceable: whether no VM is large enough for a task of it
+    """
 
     id: str = ''
     workload: data.Workload = dataclasses.field(default_factory=data.Workload)
@@ -78,14 +88,14 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkloadList:
-    """Some workloads."""
+    """Answer to ``list-workloads``."""
 
     workloads: list[WorkloadView] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class TaskView:
-    """A task for operators; fields as in the schema's ``Task``."""
+    """A task with the fields of the schema's ``Task``."""
 
     id: str = ''
     workload: str = ''
@@ -99,14 +109,14 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskList:
-    """Some tasks."""
+    """Answer to ``list-tasks``."""
 
     tasks: list[TaskView] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class Explanation:
-    """What was decided about a workload or a task, oldest first."""
+    """The decisions about a workload or a task, oldest first."""
 
     subject: str = ''
     state: str = ''
@@ -131,7 +141,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TeamUse:
-    """What a team has reserved in a shard."""
+    """The resources that a team has reserved in a shard."""
 
     team: str = ''
     reserved: data.Resources = dataclasses.field(
@@ -155,12 +165,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Step:
-    """What a changing call comes to.
+class CallOutcome:
+    """The outcome of a call that changes state.
 
-    :param events: applied to the state already, to be logged
-    :param answer: given to the operator after that
-    :param stop: placed tasks that nobody wants any more
+    :param events: events to log, which are applied to the state already
+    :param answer: sent to the operator after that
+    :param stop: placed tasks to be stopped
     """
 
     events: list = dataclasses.field(default_factory=list)
@@ -169,7 +179,7 @@
 
 
 def make_workload_id(shard):
-    """Return a new id, which tells the workload's shard."""
+    """Return a new workload id, which contains its shard."""
     return f'{shard}-{ids.make_id()}'
 
 
@@ -180,39 +190,42 @@
 
 
 def submit(state, call, views, shard, now_ms):
-    """Accept a workload, once for each key.
+    """Accept a workload; submitting it again with its key changes nothing.
 
-    :returns: Ok(Step), or Err(Problem)
+    :param call: a :class:`Submission`
+    :param views: list of ``vmview.VmView``
+    :returns: Ok(CallOutcome), or Err(Problem)
     """
     key = call.key or call.workload.key
-    known = state.find_by_key(key)
-    if known is not None:
-        return _answer_again(known, call.workload, key)
+    existing = state.find_by_key(key)
+    if existing is not None:
+        return _answer_resubmission(existing, call.workload, key)
     problem = placement.check_placeable(call.workload, views)
-    step = Step()
+    outcome = CallOutcome()
     if problem is not None:
-        decision = _explain_refusal(call.workload.key, problem, now_ms)
-        add_event(state, step, events.DecisionMade(decision))
-        step.answer = problem
-        return result.Ok(step)
+        decision = _make_refusal_decision(call.workload.key, problem, now_ms)
+        add_event(state, outcome, events.DecisionMade(decision))
+        outcome.answer = problem
+        return result.Ok(outcome)
     workload_id = make_workload_id(shard)
     add_event(
         state,
-        step,
+        outcome,
         events.WorkloadAccepted(workload_id, key, now_ms, call.workload),
     )
-    step.answer = Accepted(workload_id, True)
-    return result.Ok(step)
+    outcome.answer = Accepted(workload_id, True)
+    return result.Ok(outcome)
 
 
 def change(state, call):
     """Change a workload's count and importance.
 
-    :returns: Ok(Step), or Err(Problem)
+    :param call: a :class:`Change`
+    :returns: Ok(CallOutcome), or Err(Problem)
     """
     record = state.workloads.get(call.id)
     if record is None or record.cancelled:
-        return result.Err(describe_unknown(call.id))
+        return result.Err(make_unknown_id(call.id))
     fixed = dataclasses.replace(
         call.workload,
         count=record.workload.count,
@@ -228,39 +241,40 @@
                 'cancel it and create a new one under another name',
             )
         )
-    step = Step(answer=Accepted(call.id))
+    outcome = CallOutcome(answer=Accepted(call.id))
     event = events.WorkloadChanged(
         call.id, call.workload.count, call.workload.importance
     )
-    add_event(state, step, event)
-    step.stop = [
+    add_event(state, outcome, event)
+    outcome.stop = [
         task
         for task in record.tasks
         if task.vm and task.number >= record.workload.count
     ]
-    return result.Ok(step)
+    return result.Ok(outcome)
 
 
 def cancel(state, call):
-    """Cancel a workload; doing it twice changes nothing more.
+    """Cancel a workload; cancelling it again changes nothing.
 
-    :returns: Ok(Step), or Err(Problem)
+    :param call: a :class:`Query`
+    :returns: Ok(CallOutcome), or Err(Problem)
     """
     record = state.workloads.get(call.id)
     if record is None:
-        return result.Err(describe_unknown(call.id))
-    step = Step()
+        return result.Err(make_unknown_id(call.id))
+    outcome = CallOutcome()
     counts = state.count_states(record)
     unended = [s for s in counts if s not in data.ENDED_STATES]
-    step.answer = Cancelled(sum(counts[s] for s in unended))
+    outcome.answer = Cancelled(sum(counts[s] for s in unended))
     if not record.cancelled:
-        add_event(state, step, events.WorkloadCancelled(call.id))
-    step.stop = [task for task in record.tasks if task.vm]
-    return result.Ok(step)
+        add_event(state, outcome, events.WorkloadCancelled(call.id))
+    outcome.stop = [task for task in record.tasks if task.vm]
+    return result.Ok(outcome)
 
 
 def list_workloads(state, query, views):
-    """Return the workloads of a kind and a team.
+    """Return the workloads that a query selects.
 
     :returns: a :class:`WorkloadList`
     """
@@ -275,7 +289,7 @@
 
 
 def view_workload(state, record, views):
-    """Return a workload with the counts of its tasks."""
+    """Return a workload as :class:`WorkloadView`."""
     counts = state.count_states(record)
     running = sum(counts[held] for held in data.HELD_STATES)
     problem = placement.check_placeable(record.workload, views)
@@ -299,7 +313,7 @@
     """
     record = state.workloads.get(query.id)
     if record is None:
-        return result.Err(describe_unknown(query.id))
+        return result.Err(make_unknown_id(query.id))
     tasks = [
         TaskView(
             task.id,
@@ -317,31 +331,31 @@
 
 
 def explain(state, query, waiting, now_ms):
-    """Return what was decided about a workload, a task or a refusal.
+    """Return the decisions about a workload, a task or a refused submission.
 
-    :param waiting: ``placement.Waiting`` of workloads that wait, by id
+    :param waiting: ``placement.Waiting`` of waiting workloads, by id
     :returns: Ok(Explanation), or Err(Problem)
     """
-    found = Explanation(query.id, decisions=state.history.find(query.id))
+    explanation = Explanation(query.id, decisions=state.history.find(query.id))
     record = state.workloads.get(query.id)
     if record is not None:
-        found.state = _describe_counts(state.count_states(record))
+        explanation.state = _describe_counts(state.count_states(record))
     elif state.find_workload(query.id) is not None:
         record = state.find_workload(query.id)
         task = state.tasks.get(query.id)
-        found.state = str(task.state if task else data.TaskState.WAITING)
-    elif found.decisions:
-        found.state = 'refused'
+        explanation.state = str(task.state if task else data.TaskState.WAITING)
+    elif explanation.decisions:
+        explanation.state = 'refused'
     else:
-        return result.Err(describe_unknown(query.id))
-    now = waiting.get(record.id) if record else None
-    if now is not None:
-        found.decisions.append(placement.explain_wait(now, now_ms))
-    return result.Ok(found)
+        return result.Err(make_unknown_id(query.id))
+    wait = waiting.get(record.id) if record else None
+    if wait is not None:
+        explanation.decisions.append(placement.explain_wait(wait, now_ms))
+    return result.Ok(explanation)
 
 
 def read_arguments(cls, body):
-    """Return a call's arguments.
+    """Decode a call's arguments.
 
     :returns: Ok(instance of cls), or Err(Problem)
     """
@@ -349,35 +363,37 @@
         return result.Ok(codec.unpack(cls, body))
     except ValueError as exc:
         return result.Err(
-            data.Problem('bad-arguments', text=str(exc), remedy='report it')
+            data.Problem(
+                'bad-arguments', text=str(exc), remedy='report this as a bug'
+            )
         )
 
 
-def _answer_again(known, workload, key):
-    if _strip(known.workload) == _strip(workload):
-        return result.Ok(Step(answer=Accepted(known.id)))
+def _answer_resubmission(existing, workload, key):
+    if _clear_changeable(existing.workload) == _clear_changeable(workload):
+        return result.Ok(CallOutcome(answer=Accepted(existing.id)))
     return result.Err(
         data.Problem(
             'key-in-use',
             'key',
             key,
-            'made another workload before',
-            'use another key or name, or cancel and list what is there',
+            'is used by a workload with other fields',
+            'use another key or name, or cancel the existing workload',
         )
     )
 
 
-def _strip(workload):
-    """Return a workload without what an operator may have changed."""
+def _clear_changeable(workload):
+    """Return a copy without the fields that operators may change."""
     return dataclasses.replace(workload, count=0, importance=0)
 
 
-def describe_unknown(subject):
+def make_unknown_id(subject):
     return data.Problem(
         'unknown-id',
         'id',
         subject,
-        'is not known here',
+        'does not exist in this shard',
         'see "portwharf jobs" or "portwharf services" for ids',
     )
 
@@ -387,7 +403,7 @@
     return ', '.join(parts) or 'no tasks'
 
 
-def _explain_refusal(subject, problem, now_ms):
+def _make_refusal_decision(subject, problem, now_ms):
     return events.Decision(
         now_ms,
         problem.code,
@@ -397,6 +413,6 @@
     )
 
 
-def add_event(state, step, event):
+def add_event(state, outcome, event):
     state.apply(event)
-    step.events.append(event)
+    outcome.events.append(event)
--- a/packages/scheduler/portwharf/scheduler/policy.py
+++ b/packages/scheduler/portwharf/scheduler/policy.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Asks a policy which workers may run a step, and keeps its tickets.
+"""Asks a policy service which workers may run a step; caches its tickets.
 
-A queue's policy allows only some workers to run a step; a start there
-brings the ticket that the policy gave. Answers take long and are given one
-at a time, so that a thread asks while the owner goes on deciding. What the
-policy has refused stays refused; a ticket is asked for again once its time
-is over.
+The policy of a queue allows only some workers to run a step, and each start
+there must carry the ticket that the policy issued. The service is slow and
+answers one query at a time, so a separate thread sends the queries while the
+owner goes on deciding. A refusal is final; a ticket is requested again once it
+has expired.
 """
 
 import abc
@@ -20,21 +20,21 @@
 
 LOG = logging.getLogger(__name__)
 
-# Workers named in one question: what a step's chain is reckoned with.
-MOST_ASKED = 30
-# Steps whose answers are kept.
+# The service computes the chain of a step from this many workers.
+MAX_WORKERS_PER_QUERY = 30
+# Steps whose answers are cached.
 MAX_STEPS = 2000
-# After a question without an answer.
+# After a query without an answer.
 _RETRY_SECONDS = 0.2
-# A ticket is not used in the last tenth of its time: the start has to
-# arrive while it is valid.
-_USABLE = 0.9
+# A ticket is used only during this fraction of its validity: the start has to
+# arrive before it expires.
+_USABLE_FRACTION = 0.9
 _MS = 1000
 
 
 @dataclasses.dataclass(slots=True)
 class Permit:
-    """A worker that may run a step.
+    """A worker that may run a step, and its ticket.
 
     :param life: the ``data.LifeId`` that was asked about
     """
@@ -44,22 +44,24 @@
 
 
 class Policy(abc.ABC):
-    """The service that knows which workers may run which step."""
+    """The service that decides which workers may run which step."""
 
     @abc.abstractmethod
     def ask(self, step, lives):
         """Ask which of some workers may run a step.
 
+        :param step: the id of the step's workload
         :param lives: a ``data.LifeId`` for each worker
         :returns: Ok(list of Permit), or Err(text)
         """
 
 
 @dataclasses.dataclass(slots=True)
-class _Known:
-    """What the policy has said of one worker for one step.
+class _Answer:
+    """The policy's answer for one step and one worker.
 
-    :param until: when the ticket ends, by the owner's clock
+    :param ticket: '' if the worker may not run the step
+    :param until: when the ticket stops being used, by the owner's clock
     """
 
     ticket: str = ''
@@ -67,27 +69,28 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Question:
+class _Query:
     step: str = ''
     lives: list = dataclasses.field(default_factory=list)
     valid_seconds: float = 0.0
 
 
 class Advisor:
-    """One owner's questions and the answers; a context manager."""
+    """Queries and cached answers of one owner; a context manager."""
 
     def __init__(self, policy, clock, on_answer):
-        """Take a :class:`Policy`, or None where no queue has one.
+        """Take a :class:`Policy`, or None if no queue has one.
 
-        :param on_answer: called when there is something new to place by
+        :param on_answer: called after each answer that was stored
         """
         self._policy = policy
         self._clock = clock
         self._on_answer = on_answer
         self._lock = threading.Condition()
-        self._known = collections.OrderedDict()
-        # The questions to ask, by step: one at a time for each.
-        self._asked = collections.OrderedDict()
+        # Maps of LifeId to _Answer, by step.
+        self._answers = collections.OrderedDict()
+        # Queries to send, at most one for each step.
+        self._pending = collections.OrderedDict()
         self._stopping = False
         self._thread = threading.Thread(
             target=self._run, name='policy', daemon=True
@@ -99,27 +102,31 @@
         return self
 
     def __exit__(self, *exc_info):
-        # The thread may wait for an answer; it changes nothing after this.
+        # The thread may still wait for an answer, so it is not joined.
         with self._lock:
             self._stopping = True
             self._lock.notify()
 
-    def want(self, step, lives, ticket_ms):
-        """Have the policy asked about workers that it has not answered for.
+    def request(self, step, lives, ticket_ms):
+        """Queue a query about workers that have no valid answer.
 
-        :param lives: lives of workers, the most wanted first
-        :param ticket_ms: how long its tickets are valid
+        Does nothing while another query about the step is pending.
+
+        :param lives: the workers' ``data.LifeId``, most preferred first
+        :param ticket_ms: how long the policy's tickets are valid
         """
         now = self._clock.read_monotonic()
         with self._lock:
-            if step in self._asked:
+            if step in self._pending:
                 return
-            known = self._known.get(step, {})
-            unknown = [life for life in lives if _is_due(known, life, now)]
+            known = self._answers.get(step, {})
+            unknown = [
+                life for life in lives if _needs_query(known, life, now)
+            ]
             if not unknown:
                 return
-            self._asked[step] = _Question(
-                step, unknown[:MOST_ASKED], ticket_ms / _MS
+            self._pending[step] = _Query(
+                step, unknown[:MAX_WORKERS_PER_QUERY], ticket_ms / _MS
             )
             self._lock.notify()
 
@@ -127,55 +134,60 @@
         """Return a ticket that is valid now, or ''."""
         now = self._clock.read_monotonic()
         with self._lock:
-            known = self._known.get(step, {}).get(life)
+            known = self._answers.get(step, {}).get(life)
             if known is None or now >= known.until:
                 return ''
             return known.ticket
 
     def ask_next(self):
-        """Ask the oldest question; called by the thread, or by a test.
+        """Send the oldest query; called by the thread, or by a test.
 
         :returns: False if there was no answer
         """
         with self._lock:
-            if not self._asked:
+            if not self._pending:
                 return True
-            question = next(iter(self._asked.values()))
+            query = next(iter(self._pending.values()))
         sent = self._clock.read_monotonic()
-        answer = self._policy.ask(question.step, question.lives)
+        answer = self._policy.ask(query.step, query.lives)
         if answer.is_err():
-            extra = logs.fields(workload=question.step)
-            LOG.warning('no advice: %s', answer.err_value, extra=extra)
+            extra = logs.fields(workload=query.step)
+            LOG.warning(
+                'policy query failed: %s', answer.err_value, extra=extra
+            )
             return False
-        self._take(question, answer.ok_value, sent)
+        self._store_answer(query, answer.ok_value, sent)
         self._on_answer()
         return True
 
-    def _take(self, question, permits, sent):
-        until = sent + question.valid_seconds * _USABLE
+    def _store_answer(self, query, permits, sent):
+        until = sent + query.valid_seconds * _USABLE_FRACTION
         with self._lock:
-            del self._asked[question.step]
-            known = self._known.setdefault(question.step, {})
-            known.update((life, _Known()) for life in question.lives)
+            del self._pending[query.step]
+            known = self._answers.setdefault(query.step, {})
+            known.update((life, _Answer()) for life in query.lives)
             for one in permits:
-                known[one.life] = _Known(one.ticket, until)
-            if len(self._known) > MAX_STEPS:
-                self._known.popitem(last=False)
-        extra = logs.fields(workload=question.step, count=len(permits))
-        LOG.info('advice on %d workers', len(question.lives), extra=extra)
+                known[one.life] = _Answer(one.ticket, until)
+            if len(self._answers) > MAX_STEPS:
+                self._answers.popitem(last=False)
+        extra = logs.fields(workload=query.step, count=len(permits))
+        LOG.info(
+            'policy answered for %d workers', len(query.lives), extra=extra
+        )
 
     def _run(self):
         while not self._stopping:
             with self._lock:
-                while not self._asked and not self._stopping:
+                while not self._pending and not self._stopping:
                     self._lock.wait()
             if not self._stopping and not self.ask_next():
                 threading.Event().wait(_RETRY_SECONDS)
 
 
-def find_tickets(advisor, demands, views):
-    """Give demands their tickets, and have the missing ones asked for.
+def assign_tickets(advisor, demands, views):
+    """Set the tickets of demands, and request the missing ones.
 
+    :param advisor: an :class:`Advisor`
     :param demands: list of ``backlog.Demand``
     :param views: list of ``vmview.VmView``
     """
@@ -191,7 +203,7 @@
         ]
         usable.sort(key=lambda view: -view.room.cpu_milli)
         lives = [view.life for view in usable]
-        advisor.want(step, lives, workload.ticket_ms)
+        advisor.request(step, lives, workload.ticket_ms)
         found = {
             view.vm.name: advisor.find_ticket(step, view.life)
             for view in usable
@@ -199,8 +211,8 @@
         demand.tickets = {name: one for name, one in found.items() if one}
 
 
-def _is_due(known, life, now):
-    """Tell whether to ask about a worker: never asked, or run out."""
+def _needs_query(known, life, now):
+    """Return whether a worker has no answer, or an expired ticket."""
     one = known.get(life)
     if one is None:
         return True
--- a/packages/scheduler/portwharf/scheduler/policy_test.py
+++ b/packages/scheduler/portwharf/scheduler/policy_test.py
@@ -71,12 +71,12 @@
 def test_step_waits_for_the_policy_and_brings_its_ticket(case):
     advisor, _, _ = open_advisor(SECOND)
     demand, views = make_demand(), make_views()
-    policy.find_tickets(advisor, [demand], views)
+    policy.assign_tickets(advisor, [demand], views)
     (waiting,) = place(demand, views).waiting
     refused = waiting.choice.refusals[choosing.REFUSED_POLICY]
     case.assertEqual(refused, 2)
     case.assertTrue(advisor.ask_next())
-    policy.find_tickets(advisor, [demand], views)
+    policy.assign_tickets(advisor, [demand], views)
     placed = place(demand, views).placements
     rows = [(one.vm, one.ticket) for one in placed]
     case.assertEqual(rows, [('vm-1', 't-i-1')] * 2)
@@ -85,18 +85,18 @@
 def test_refused_workers_are_asked_about_once(case):
     advisor, asked, _ = open_advisor(SECOND)
     for _ in range(3):
-        advisor.want(STEP, [FIRST, SECOND], VALID_MS)
+        advisor.request(STEP, [FIRST, SECOND], VALID_MS)
         advisor.ask_next()
     case.assertEqual(asked.asked, [[FIRST, SECOND]])
 
 
 def test_ticket_ends_before_its_time_and_is_asked_for_again(case):
     advisor, asked, now = open_advisor(SECOND)
-    advisor.want(STEP, [FIRST, SECOND], VALID_MS)
+    advisor.request(STEP, [FIRST, SECOND], VALID_MS)
     advisor.ask_next()
     now.advance(0.95)
     case.assertEqual(advisor.find_ticket(STEP, SECOND), '')
-    advisor.want(STEP, [FIRST, SECOND], VALID_MS)
+    advisor.request(STEP, [FIRST, SECOND], VALID_MS)
     advisor.ask_next()
     case.assertEqual(asked.asked[-1], [SECOND])
     case.assertEqual(advisor.find_ticket(STEP, SECOND), 't-i-1')
@@ -104,7 +104,7 @@
 
 def test_new_life_of_a_worker_needs_a_ticket_of_its_own(case):
     advisor, _, _ = open_advisor(SECOND)
-    advisor.want(STEP, [SECOND], VALID_MS)
+    advisor.request(STEP, [SECOND], VALID_MS)
     advisor.ask_next()
     reborn = data.LifeId(SECOND.instance, 2)
     for life in (data.LifeId('i-2', 1), reborn):
@@ -114,7 +114,7 @@
 def test_question_without_an_answer_is_asked_again(case):
     advisor, asked, _ = open_advisor(SECOND)
     asked.down = True
-    advisor.want(STEP, [SECOND], VALID_MS)
+    advisor.request(STEP, [SECOND], VALID_MS)
     case.assertFalse(advisor.ask_next())
     asked.down = False
     case.assertTrue(advisor.ask_next())
@@ -125,7 +125,7 @@
     advisor, asked, _ = open_advisor()
     lives = [data.LifeId(f'i-{number}') for number in range(40)]
     for _ in range(2):
-        advisor.want(STEP, lives, VALID_MS)
+        advisor.request(STEP, lives, VALID_MS)
         advisor.ask_next()
     case.assertEqual([len(one) for one in asked.asked], [30, 10])
 
--- a/packages/scheduler/portwharf/scheduler/preparing.py
+++ b/packages/scheduler/portwharf/scheduler/preparing.py
@@ -1,17 +1,18 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Starts that are committed ahead, for when the store does not answer.
-
-Nothing may begin that is not in the log, and the log cannot grow while the
-store is down. So a few waiting batch tasks are given in advance to VMs
-that have no room for them yet. In ordinary times they are placed there or
-elsewhere as room comes up. While an append is stalled the owner begins one
-whenever tasks that ended on its VM have made room, which the side checks.
-
-An owner may take a prepared task back only while it knows that nobody has
-begun it: it has not done so itself, and the side has told on this
-connection all that it runs. For a silent VM it has to wait as for a task
-that runs.
+"""Starts that are committed in advance, for outages of the store.
+
+No task may start before its placement is in the log, and the log cannot grow
+while the store is down. So some waiting batch tasks are assigned in advance to
+VMs that have no room for them yet. Normally, once there is room they are
+placed on that VM or requeued for another. While an append is stalled, the
+owner starts a prepared task as soon as tasks that ended on its VM have freed
+enough room; the side checks that as well.
+
+An owner may requeue a prepared task only while it is certain that nobody has
+started it: the owner itself has not, and the side has reported on this
+connection everything that it runs. For a silent VM it has to wait, as for a
+running task.
 """
 
 import dataclasses
@@ -20,10 +21,9 @@
 from portwharf.scheduler import events
 from portwharf.scheduler import reconcile
 
-# Prepared tasks of one VM.
-DEPTH = 2
+MAX_PREPARED_PER_VM = 2
 
-_ENDED = frozenset(
+_ENDED_STATES = frozenset(
     (
         data.RunState.SUCCEEDED,
         data.RunState.FAILED,
@@ -35,7 +35,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Freed:
-    """What ended attempts of a VM have freed since an append stalled."""
+    """Resources that a VM's attempts have freed since an append stalled.
+
+    :param seen: (task, attempt) of the attempts that are counted
+    """
 
     room: data.Resources = dataclasses.field(default_factory=data.Resources)
     seen: set = dataclasses.field(default_factory=set)
@@ -46,31 +49,34 @@
 
     def __init__(self, state):
         self._state = state
-        self._begun = set()
+        # (task, attempt) of prepared tasks that this owner has started.
+        self._started = set()
         self._freed = {}
 
     def choose(self, demands, views):
-        """Prepare waiting batch tasks on VMs that could hold them.
+        """Prepare waiting batch tasks on VMs that are large enough.
 
         :param demands: list of ``backlog.Demand``, in order, with what
             is still waiting after a pass
+        :param views: list of ``vmview.VmView``
         :returns: list of events
         """
         chosen = []
         space = {
-            view.vm.name: DEPTH - len(self._state.prepared[view.vm.name])
+            view.vm.name: MAX_PREPARED_PER_VM
+            - len(self._state.prepared[view.vm.name])
             for view in views
             if not view.closed
         }
         for demand in demands:
             if not any(left > 0 for left in space.values()):
-                # The rest need not even be asked for their tasks.
+                # Listing the tasks of the remaining demands is expensive.
                 break
             workload = demand.record.workload
             if workload.kind != data.Kind.BATCH or workload.job:
                 continue
             if demand.has_suspects:
-                # It is not to begin while nobody can count its crashes.
+                # Its crashes could not be logged during an outage.
                 continue
             rows = zip(demand.tasks, demand.attempts, strict=True)
             for task, attempt in rows:
@@ -82,11 +88,13 @@
         return chosen
 
     def resolve(self, views, is_lost, may_replace):
-        """Place prepared tasks where there is room, or take them back.
+        """Place prepared tasks where there is room, or requeue them.
 
         :param views: list of ``vmview.VmView``; their room is used up
-        :param is_lost: function of a VM's name
-        :param may_replace: function of a VM's name
+        :param is_lost: function of a VM's name; whether its tasks count as
+            lost
+        :param may_replace: function of a VM's name; whether an exclusive
+            task of it may start elsewhere
         :returns: list of events
         """
         rows = {view.vm.name: view for view in views}
@@ -101,42 +109,44 @@
         return resolved
 
     def note_stalled(self, vm, reports):
-        """Begin prepared tasks in the room that ended ones have left.
+        """Start prepared tasks in the room that ended attempts have freed.
 
-        Called for reports that come in while an append is stalled.
+        Called for reports that arrive while an append is stalled.
 
+        :param reports: list of ``messages.TaskReport``
         :returns: list of ``messages.StartTask`` to send at once
         """
         freed = self._freed.setdefault(vm, _Freed())
         for report in reports:
-            self._count_freed(vm, report, freed)
+            self._add_freed(vm, report, freed)
         starts = []
         for task in self._state.prepared[vm].values():
             size = self._state.find_workload(task.id).workload.resources
             name = (task.id, task.attempt)
-            if name in self._begun or not size.fits(freed.room):
+            if name in self._started or not size.fits(freed.room):
                 continue
             freed.room = freed.room.subtract(size)
-            self._begun.add(name)
+            self._started.add(name)
             starts.append(reconcile.make_start(self._state, task))
         return starts
 
-    def list_begun(self, vm):
-        """Return the prepared tasks of a VM that were told to begin."""
+    def list_started(self, vm):
+        """Return the prepared tasks of a VM that were told to start."""
         return [
             task
             for task in self._state.prepared[vm].values()
-            if (task.id, task.attempt) in self._begun
+            if (task.id, task.attempt) in self._started
         ]
 
     def note_confirmed(self):
-        """Forget what was freed: the store answers again."""
+        """Forget the freed resources, as an append was confirmed."""
         self._freed.clear()
 
-    def _count_freed(self, vm, report, freed):
+    def _add_freed(self, vm, report, freed):
+        """Count what an attempt's end has freed, once."""
         name = (report.task, report.attempt)
         task = self._state.held[vm].get(report.task)
-        if report.state not in _ENDED or name in freed.seen:
+        if report.state not in _ENDED_STATES or name in freed.seen:
             return
         if task is None or task.attempt != report.attempt:
             return
@@ -145,18 +155,17 @@
         freed.room = freed.room.add(size)
 
     def _resolve_task(self, task, view, views, is_lost, may_replace):
-        """Return the event that ends a task's being prepared, or None."""
+        """Return the event that places or requeues a task, or None."""
         if is_lost(task.vm):
             workload = self._state.find_workload(task.id).workload
             if workload.exclusive and not may_replace(task.vm):
                 return None
             return events.TaskRequeued(task.id, task.attempt)
         name = (task.id, task.attempt)
-        if name in self._begun or view is None:
+        if name in self._started or view is None:
             return None
         if not view.reported:
-            # It may have begun while the store was down, and its side has
-            # not told this owner yet.
+            # A previous owner may have started it while the store was down.
             return None
         if view.closed or reconcile.is_unwanted(self._state, task):
             return events.TaskRequeued(task.id, task.attempt)
@@ -170,7 +179,10 @@
 
 
 def _pick_vm(demand, views, space):
-    """Return the VM with the least prepared that could hold a task."""
+    """Return the usable VM with the fewest prepared tasks, or None.
+
+    :param space: how many more tasks each VM may have prepared, by name
+    """
     size = demand.record.workload.resources
     usable = [
         view.vm.name
--- a/packages/scheduler/portwharf/scheduler/reconcile.py
+++ b/packages/scheduler/portwharf/scheduler/reconcile.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side's report of an attempt means for the log.
+"""Turns a side's reports of attempts into events and commands.
 
-Reports may come late, twice or from attempts that were given up long ago;
-only one about the attempt that the log holds changes anything. The outcome
-is a list of events and a list of commands for that side.
+Reports may be late, duplicated or about attempts that were given up long ago.
+Only reports about a task's current attempt change its state. Makes the
+commands to start and stop attempts as well.
 """
 
 import dataclasses
@@ -16,10 +16,11 @@
 from portwharf.scheduler import events
 from portwharf.scheduler import suspects
 
-# Attempts of a batch task that may fail before the task has failed.
+# A batch task fails with this many failed attempts, unless it has a limit of
+# its own.
 MAX_FAILURES = 3
 
-_OVER = frozenset(
+_ENDED_STATES = frozenset(
     (
         data.RunState.SUCCEEDED,
         data.RunState.FAILED,
@@ -32,11 +33,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What follows from reports.
+    """The events, commands and acknowledgements that follow from reports.
 
     :param commands: messages for the side, to be sent after the events
-        are in the log
-    :param forget: attempts that the side may drop after that
+        are logged
+    :param forget: ``messages.TaskRef`` of attempts that the side may forget
+        after that
     """
 
     events: list = dataclasses.field(default_factory=list)
@@ -45,46 +47,49 @@
 
 
 def judge_report(state, vm, report, verdict):
-    """Add what one report means to a verdict, and apply its event.
+    """Process one report: apply its events and add its results to a verdict.
 
     :param state: the shard's state, which is changed
-    :param vm: the name of the VM that reports
+    :param vm: the name of the VM that sent the report
+    :param report: a ``messages.TaskReport``
     """
     task = state.tasks.get(report.task)
     if task is not None and _is_current(task, vm, report):
-        _judge_current(state, vm, task, report, verdict)
-    elif task is not None and _ends_waiting(task, report):
-        ended = _end(report, data.TaskState.SUCCEEDED)
+        _process_current(state, vm, task, report, verdict)
+    elif task is not None and _is_success_before_retry(task, report):
+        ended = _make_task_ended(report, data.TaskState.SUCCEEDED)
         _add(state, verdict, ended)
-        _end_gang(state, ended, verdict)
-        verdict.forget.append(_name(report))
-    elif report.state in _OVER:
-        verdict.forget.append(_name(report))
+        _end_gang_members(state, ended, verdict)
+        verdict.forget.append(_make_ref(report))
+    elif report.state in _ENDED_STATES:
+        verdict.forget.append(_make_ref(report))
     else:
         verdict.commands.append(
             messages.StopTask(state.epoch, report.task, report.attempt)
         )
 
 
-def find_missing(state, vm, reports, begun=()):
+def find_missing(state, vm, reports, started=()):
     """Return the tasks that a VM should run but did not report.
 
-    :param begun: its prepared tasks that were told to begin; that order may
-        be lost like any
+    :param reports: the VM's complete list of ``messages.TaskReport``
+    :param started: its prepared tasks that were told to start, as that
+        command may have been lost
     """
     known = {(report.task, report.attempt) for report in reports}
     return [
         task
-        for task in (*state.held[vm].values(), *begun)
+        for task in (*state.held[vm].values(), *started)
         if (task.id, task.attempt) not in known
     ]
 
 
 def make_start(state, task, ticket='', runtimes=None):
-    """Return the command that begins a placed task's attempt.
+    """Return the command that starts a placed task's attempt.
 
-    :param ticket: what the policy gave for its VM, or ''
-    :param runtimes: a ``forecast.RunTimes``; clients' estimates, if None
+    :param ticket: the policy's ticket for its worker, or ''
+    :param runtimes: a ``forecast.RunTimes``, or None to use clients'
+        estimates
     """
     record = state.find_workload(task.id)
     workload = record.workload
@@ -113,9 +118,10 @@
 
 
 def make_held(state, vm, runtimes=None):
-    """Return the ``messages.HeldTasks`` of all that a VM holds.
+    """Return the ``messages.HeldTasks`` of a VM.
 
-    What is prepared there may have begun while the store did not answer.
+    Prepared tasks are listed too: they may have been started while the store
+    was down.
     """
     held = []
     tasks = [*state.held[vm].values(), *state.prepared[vm].values()]
@@ -139,11 +145,11 @@
     return messages.HeldTasks(held)
 
 
-def make_catch_up(state, task, ticket='', runtimes=None):
+def make_missing_command(state, task, ticket='', runtimes=None):
     """Return the command for a placed task that its VM does not list.
 
-    What nobody wants any more is not begun: its stop has the side answer
-    that it is gone.
+    An unwanted task is stopped rather than started: the side answers a stop
+    of an unknown attempt with a report that it is gone.
     """
     if is_unwanted(state, task) or task.state == data.TaskState.EVICTING:
         return make_stop(state, task, False)
@@ -151,12 +157,15 @@
 
 
 def make_stop(state, task, checkpoint):
-    """Return the command that ends a placed task's attempt."""
+    """Return the command that stops a placed task's attempt.
+
+    :param checkpoint: whether it is to save a checkpoint first
+    """
     return messages.StopTask(state.epoch, task.id, task.attempt, checkpoint)
 
 
 def is_unwanted(state, task):
-    """Tell whether a placed task's workload has no more use for it."""
+    """Return whether a task was cancelled or is beyond the task count."""
     record = state.find_workload(task.id)
     return record.cancelled or task.number >= record.workload.count
 
@@ -165,11 +174,11 @@
     return task.vm == vm and task.attempt == report.attempt and bool(task.vm)
 
 
-def _ends_waiting(task, report):
-    """Tell whether a given-up attempt's success came before the next.
+def _is_success_before_retry(task, report):
+    """Return whether a requeued attempt succeeded before the next one.
 
-    The attempt was the last one begun and its task still waits, so taking
-    the result now ends the task exactly once.
+    It was the task's last attempt and the task still waits, so accepting the
+    result now ends the task exactly once.
     """
     return (
         task.state == data.TaskState.WAITING
@@ -178,10 +187,10 @@
     )
 
 
-def _judge_current(state, vm, task, report, verdict):
+def _process_current(state, vm, task, report, verdict):
     if report.state == data.RunState.RUNNING:
         if task.state == data.TaskState.PREPARED:
-            # Begun while the store did not answer; now it is logged.
+            # It was started while the store was down.
             _add(
                 state,
                 verdict,
@@ -192,14 +201,14 @@
         elif task.state == data.TaskState.EVICTING:
             verdict.commands.append(make_stop(state, task, True))
         return
-    ended = _conclude(state, task, report)
+    ended = _make_end_event(state, task, report)
     _add(state, verdict, ended)
-    _end_gang(state, ended, verdict)
-    verdict.forget.append(_name(report))
+    _end_gang_members(state, ended, verdict)
+    verdict.forget.append(_make_ref(report))
 
 
-def _end_gang(state, ended, verdict):
-    """End the other members of a gang of which one has succeeded."""
+def _end_gang_members(state, ended, verdict):
+    """End a gang's other members if the ended one has succeeded."""
     record = state.find_workload(ended.task)
     if not record.workload.gang or not isinstance(ended, events.TaskEnded):
         return
@@ -208,20 +217,20 @@
             _add(state, verdict, event)
 
 
-def _conclude(state, task, report):
-    """Return the event of an attempt that is over."""
+def _make_end_event(state, task, report):
+    """Return the event for the end of an attempt."""
     workload = state.find_workload(task.id).workload
     batch = workload.kind == data.Kind.BATCH
     if report.state == data.RunState.SUCCEEDED and batch:
-        return _end(report, data.TaskState.SUCCEEDED)
+        return _make_task_ended(report, data.TaskState.SUCCEEDED)
     failed = report.state == data.RunState.FAILED
     record = state.find_workload(task.id)
-    if failed and batch and _is_last_try(task, record):
-        return _end(report, data.TaskState.FAILED)
+    if failed and batch and _is_final_attempt(task, record):
+        return _make_task_ended(report, data.TaskState.FAILED)
     evicted = report.state == data.RunState.CHECKPOINTED
     crash = ''
     if report.crash:
-        crash = suspects.name_crash(task.vm, report.crash)
+        crash = suspects.make_crash_name(task.vm, report.crash)
     return events.TaskRequeued(
         report.task,
         report.attempt,
@@ -233,23 +242,23 @@
     )
 
 
-def _is_last_try(task, record):
-    """Tell whether a task that fails once more has failed for good.
+def _is_final_attempt(task, record):
+    """Return whether one more failed attempt fails the task.
 
-    A job's task may fail so often by itself; attempts that were lost with
-    their VM do not count against it.
+    If its workload sets a limit, only failures count, and not attempts that
+    were lost with their VM.
     """
     workload = record.workload
     if workload.gang:
-        fresh = task.attempt > record.failed_attempt
+        is_new_failure = task.attempt > record.failed_attempt
         most = workload.max_failures or MAX_FAILURES
-        return record.failures + fresh >= most
+        return record.failures + is_new_failure >= most
     if workload.max_failures:
         return task.failures + 1 >= workload.max_failures
     return task.attempt - task.evictions >= MAX_FAILURES
 
 
-def _end(report, ended):
+def _make_task_ended(report, ended):
     return events.TaskEnded(report.task, report.attempt, ended, report.result)
 
 
@@ -258,5 +267,5 @@
     verdict.events.append(event)
 
 
-def _name(report):
+def _make_ref(report):
     return messages.TaskRef(report.task, report.attempt)
--- a/packages/scheduler/portwharf/scheduler/state.py
+++ b/packages/scheduler/portwharf/scheduler/state.py
@@ -1,11 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A shard's state: what applying its log's events comes to.
+"""A shard's state, computed by applying the events of its log in order.
 
-A batch job of a thousand tasks is one record until its tasks are placed:
-tasks that were never placed are a range of numbers, so that waiting work
-costs next to nothing. Ended batch tasks keep their results until the
-workload is dropped.
+Tasks that were never placed have no records: a workload stores only the
+number of the first of them, so that waiting work needs almost no memory.
+Ended batch tasks keep their results until their workload is dropped.
 """
 
 import collections
@@ -21,7 +20,7 @@
 from portwharf.scheduler import jobs
 from portwharf.scheduler import suspects
 
-# Rosters that are kept; an id older than the first of them is not run.
+# Requests that name a roster older than all of these are not run.
 MAX_ROSTERS = 16
 
 
@@ -29,8 +28,7 @@
 class TaskRecord:
     """One task that has been placed at least once.
 
-    :param crashes: the workers' crashes under it since it was last at work
-        for long
+    :param crashes: crashes of its workers since it last ran past its startup
     """
 
     id: str = ''
@@ -42,17 +40,19 @@
     result: bytes = b''
     evictions: int = 0
     failures: int = 0
-    crashes: list[suspects.CrashSeen] = dataclasses.field(default_factory=list)
+    crashes: list[suspects.CrashRecord] = dataclasses.field(
+        default_factory=list
+    )
 
 
 @dataclasses.dataclass(slots=True)
 class WorkloadRecord:
     """One accepted workload.
 
-    :param begun: tasks numbered from here on were never placed
+    :param begun: number of the first task that was never placed
     :param succeeded: how many of its tasks have succeeded
-    :param not_before_ms: wall time before which nothing of it begins
-    :param checkpoint: of a gang, what any of its members saved last
+    :param not_before_ms: wall time before which none of its tasks starts
+    :param checkpoint: of a gang, the latest checkpoint of any member
     :param failures: of a gang, how many of its attempts have failed
     :param failed_attempt: of a gang, the last attempt that failed
     """
@@ -73,10 +73,10 @@
 
 @dataclasses.dataclass(slots=True)
 class JobRecord:
-    """One accepted job; its steps are workloads of their own.
+    """One accepted job; each of its steps is a workload.
 
-    :param steps: ids of its workloads, those of each time in order
-    :param failed: one of its tasks has failed for good
+    :param steps: ids of its workloads, in order of occurrence and step
+    :param failed: whether one of its tasks has failed permanently
     """
 
     unix_ms: int = 0
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Snapshot:
-    """A whole state, for the store."""
+    """A shard's state as it is stored."""
 
     epoch: int = 0
     owner: str = ''
@@ -108,7 +108,7 @@
         self.members = {}
         self.workloads = {}
         self.jobs = {}
-        # Workloads of which something may still run, by id.
+        # Workloads that may still have tasks to run, by id.
         self.unended = {}
         self.tasks = {}
         self.reserved = collections.defaultdict(data.Resources)
@@ -116,28 +116,29 @@
         self.prepared = collections.defaultdict(dict)
         self.history = history.History()
         self.rosters = []
-        # Tasks that workers crashed under, by id.
+        # Tasks whose workers crashed and that are not cleared, by id.
         self.suspects = {}
         self._by_key = {}
 
     def apply(self, event):
-        """Change the state as an event says.
+        """Apply an event to the state.
 
-        :raises KeyError: the event names what was never accepted, which
-            the log cannot say: an invariant is broken
+        :raises KeyError: the event names an unknown object; the log is
+            inconsistent
+        :raises RuntimeError: the event contradicts the state of a task
         """
         _APPLIERS[type(event)](self, event)
 
     def find_by_key(self, key):
-        """Return the workload made with an operator's key, or None."""
+        """Return the workload that was created with a key, or None."""
         return self.workloads.get(self._by_key.get(key))
 
     def find_workload(self, task_id):
-        """Return the workload record of a task's id, or None."""
+        """Return the workload that a task's id belongs to, or None."""
         return self.workloads.get(ids.split_task_id(task_id))
 
     def list_tasks(self, record):
-        """Return all tasks of a workload, begun or not."""
+        """Return all tasks of a workload, also those never placed."""
         unbegun = (
             data.TaskState.CANCELLED
             if record.cancelled
@@ -150,7 +151,7 @@
         return tasks
 
     def count_states(self, record):
-        """Return how many tasks of a workload are in each state."""
+        """Return the number of a workload's tasks by state, as a Counter."""
         counts = collections.Counter(task.state for task in record.tasks)
         unbegun = max(0, record.workload.count - record.begun)
         if record.cancelled:
@@ -160,25 +161,25 @@
         return counts
 
     def list_unended(self):
-        """Return the workloads of which something may still run."""
+        """Return the workloads that may still have tasks to run."""
         for workload_id, record in list(self.unended.items()):
             if self.has_ended(record):
                 del self.unended[workload_id]
         return list(self.unended.values())
 
     def is_ready(self, record):
-        """Tell whether the steps that a workload comes after are done."""
+        """Return whether all steps that a workload depends on are done."""
         return all(
             self.is_done(self.workloads[name])
             for name in record.workload.after
         )
 
     def is_done(self, record):
-        """Tell whether all tasks of a workload have succeeded."""
+        """Return whether all tasks of a workload have succeeded."""
         return record.succeeded >= record.workload.count
 
     def find_job_state(self, job_id):
-        """Return a job's ``data.JobState``, or None if it is not known."""
+        """Return a job's ``data.JobState``, or None if it is unknown."""
         job = self.jobs.get(job_id)
         if job is None:
             return None
@@ -194,7 +195,7 @@
         return data.JobState.QUEUED
 
     def has_ended(self, record):
-        """Tell whether nothing of a workload runs or will run again."""
+        """Return whether no task of a workload runs or will run again."""
         if not record.cancelled:
             if record.workload.kind != data.Kind.BATCH:
                 return False
@@ -203,15 +204,15 @@
         return all(task.state in data.ENDED_STATES for task in record.tasks)
 
     def pack(self):
-        """Return the state as bytes, without the history of decisions.
+        """Return the state as bytes, without the decision history.
 
-        Nor with the tasks of jobs that are over: whether they have ended,
-        and how, is in the records of their steps.
+        Tasks of ended jobs are left out to keep snapshots small. The records
+        of their steps and jobs suffice to tell how they ended.
         """
-        over = {name for name in self.jobs if self._is_over(name)}
+        ended_jobs = {name for name in self.jobs if self._has_job_ended(name)}
         workloads = [
             dataclasses.replace(record, tasks=[])
-            if record.workload.job in over
+            if record.workload.job in ended_jobs
             else record
             for record in self.workloads.values()
         ]
@@ -227,15 +228,15 @@
         return codec.pack(snapshot)
 
     def pack_history(self):
-        """Return the history of decisions as bytes."""
+        """Return the decision history as bytes."""
         return codec.pack(Snapshot(history=self.history.pack()))
 
     def load_history(self, raw):
-        """Take back what :meth:`pack_history` gave."""
+        """Load a history that was returned by :meth:`pack_history`."""
         self.history.load(codec.unpack(Snapshot, raw).history)
 
-    def _is_over(self, job_id):
-        """Tell whether a job has ended, and nothing of it runs."""
+    def _has_job_ended(self, job_id):
+        """Return whether a job has ended and none of its tasks runs."""
         if self.find_job_state(job_id) not in data.ENDED_JOB_STATES:
             return False
         steps = self.jobs[job_id].steps
@@ -243,9 +244,9 @@
 
     @classmethod
     def unpack(cls, raw):
-        """Return the state that :meth:`pack` gave as bytes.
+        """Return the state that :meth:`pack` has encoded.
 
-        :raises ValueError: the bytes are not a state
+        :raises ValueError: the bytes are not an encoded state
         """
         snapshot = codec.unpack(Snapshot, raw)
         state = cls()
@@ -262,21 +263,21 @@
                 if task.crashes:
                     state.suspects[task.id] = task
                 if task.state in data.HELD_STATES:
-                    state._hold(record, task)
+                    state._reserve(record, task)
                 elif task.state == data.TaskState.PREPARED:
                     state.prepared[task.vm][task.id] = task
         state.history.load(snapshot.history)
         state.rosters = snapshot.rosters
         return state
 
-    def _hold(self, record, task):
-        """Reserve a placed task's size on its VM."""
+    def _reserve(self, record, task):
+        """Reserve a placed task's resources on its VM."""
         self.held[task.vm][task.id] = task
         size = record.workload.reserved
         self.reserved[task.vm] = self.reserved[task.vm].add(size)
 
     def _release(self, record, task):
-        """Take a placed or prepared task off its VM."""
+        """Remove a placed or prepared task from its VM."""
         if self.prepared[task.vm].pop(task.id, None) is not None:
             task.vm = ''
             return
@@ -297,7 +298,7 @@
     def _remove_member(self, event):
         self.members.pop(event.vm, None)
 
-    def _accept(self, event):
+    def _accept_workload(self, event):
         record = WorkloadRecord(
             event.id, event.key, event.unix_ms, event.workload
         )
@@ -315,32 +316,32 @@
         for time in range(max(1, job.times)):
             for step in jobs.make_steps(job, time, event.unix_ms):
                 record.steps.append(step.id)
-                self._add_workload(WorkloadRecord(**jobs.list_fields(step)))
+                self._add_workload(WorkloadRecord(**jobs.to_fields(step)))
 
     def _cancel_job(self, event):
         record = self.jobs[event.id]
         record.cancelled = True
         for name in record.steps:
-            self._cancel(events.WorkloadCancelled(name))
+            self._cancel_workload(events.WorkloadCancelled(name))
 
     def _drop_job(self, event):
         for name in self.jobs.pop(event.id).steps:
-            self._drop(events.WorkloadDropped(name))
+            self._drop_workload(events.WorkloadDropped(name))
 
-    def _change(self, event):
+    def _change_workload(self, event):
         workload = self.workloads[event.id].workload
         workload.count = event.count
         workload.importance = event.importance
 
-    def _cancel(self, event):
+    def _cancel_workload(self, event):
         record = self.workloads[event.id]
         record.cancelled = True
         for task in record.tasks:
             if task.state == data.TaskState.WAITING:
                 task.state = data.TaskState.CANCELLED
-                self._clear_task(task)
+                self._clear_crashes(task)
 
-    def _drop(self, event):
+    def _drop_workload(self, event):
         record = self.workloads.pop(event.id)
         self.unended.pop(event.id, None)
         if self._by_key.get(record.key) == event.id:
@@ -349,55 +350,63 @@
             del self.tasks[task.id]
             self.suspects.pop(task.id, None)
 
-    def _place(self, event):
+    def _place_task(self, event):
         record = self.find_workload(event.task)
         task = self.tasks.get(event.task)
         if task is None:
-            task = self._begin(record, event.task)
+            task = self._create_task(record, event.task)
         if task.state == data.TaskState.PREPARED:
             if (task.vm, task.attempt) != (event.vm, event.attempt):
-                raise RuntimeError(f'{task.id} is prepared on {task.vm}')
+                raise RuntimeError(
+                    f'cannot place {task.id}: it is prepared on {task.vm}'
+                )
             self._release(record, task)
         if task.vm:
-            raise RuntimeError(f'{task.id} is on {task.vm} already')
+            raise RuntimeError(
+                f'cannot place {task.id}: it is on {task.vm} already'
+            )
         task.state = data.TaskState.PLACED
         task.attempt = event.attempt
         task.vm = event.vm
-        self._hold(record, task)
+        self._reserve(record, task)
 
-    def _prepare(self, event):
+    def _prepare_task(self, event):
         record = self.find_workload(event.task)
         task = self.tasks.get(event.task)
         if task is None:
-            task = self._begin(record, event.task)
+            task = self._create_task(record, event.task)
         if task.vm:
-            raise RuntimeError(f'{task.id} is on {task.vm} already')
+            raise RuntimeError(
+                f'cannot prepare {task.id}: it is on {task.vm} already'
+            )
         task.state = data.TaskState.PREPARED
         task.attempt = event.attempt
         task.vm = event.vm
         self.prepared[event.vm][task.id] = task
 
-    def _begin(self, record, task_id):
+    def _create_task(self, record, task_id):
         task = TaskRecord(task_id, record.begun)
         if task_id != ids.make_task_id(record.id, record.begun):
-            raise RuntimeError(f'{task_id} is placed out of order')
+            raise RuntimeError(
+                f'cannot place {task_id}: it is not the next task in order'
+            )
         record.begun += 1
         record.tasks.append(task)
         self.tasks[task_id] = task
         return task
 
-    def _save(self, event):
+    def _save_checkpoint(self, event):
         task = self.tasks[event.task]
         record = self.find_workload(event.task)
         task.checkpoint = event.checkpoint
         if record.workload.gang:
             record.checkpoint = event.checkpoint
 
-    def _evict(self, event):
+    def _evict_task(self, event):
         task = self.tasks[event.task]
         task.state = data.TaskState.EVICTING
 
-    def _requeue(self, event):
+    def _requeue_task(self, event):
         task = self.tasks[event.task]
         record = self.find_workload(event.task)
         self._release(record, task)
@@ -405,42 +414,42 @@
         task.evictions += event.evicted
         task.failures += event.failed
         if record.workload.gang:
-            self._note_gang(record, event)
+            self._update_gang(record, event)
         if event.crash:
-            self._note_crash(task, event)
-        over = record.cancelled or task.number >= record.workload.count
+            self._record_crash(task, event)
+        ended_jobs = record.cancelled or task.number >= record.workload.count
         task.state = (
-            data.TaskState.CANCELLED if over else data.TaskState.WAITING
+            data.TaskState.CANCELLED if ended_jobs else data.TaskState.WAITING
         )
-        if over:
-            self._clear_task(task)
+        if ended_jobs:
+            self._clear_crashes(task)
 
-    def _note_gang(self, record, event):
-        """Keep what a gang's member saved, and whether it failed."""
+    def _update_gang(self, record, event):
+        """Record a gang member's checkpoint and failure."""
         record.checkpoint = event.checkpoint or record.checkpoint
         if event.failed and event.attempt > record.failed_attempt:
             record.failures += 1
             record.failed_attempt = event.attempt
 
-    def _note_crash(self, task, event):
-        """Count a worker's crash, unless the task was long at work then."""
-        if not suspects.is_young(event.ran_ms):
-            self._clear(event)
+    def _record_crash(self, task, event):
+        """Record a crash, or clear a task that was past its startup."""
+        if not suspects.is_in_startup(event.ran_ms):
+            self._clear_suspect(event)
             return
-        close = suspects.is_close(event.ran_ms)
-        task.crashes.append(suspects.CrashSeen(event.crash, close))
+        close = suspects.is_close_to_start(event.ran_ms)
+        task.crashes.append(suspects.CrashRecord(event.crash, close))
         self.suspects[task.id] = task
 
-    def _clear(self, event):
-        self._clear_task(self.tasks[event.task])
+    def _clear_suspect(self, event):
+        self._clear_crashes(self.tasks[event.task])
 
-    def _clear_task(self, task):
-        """Take its crashes off a task: nothing is to be judged by them."""
+    def _clear_crashes(self, task):
+        """Remove the crashes of a task; it is no suspect any more."""
         task.crashes = []
         self.suspects.pop(task.id, None)
 
-    def _acquit_others(self, crasher):
-        """Take the crashes of a task that is given up off all others."""
+    def _remove_shared_crashes(self, crasher):
+        """Remove a given-up task's crashes from all other suspects."""
         names = {one.name for one in crasher.crashes}
         for task in list(self.suspects.values()):
             if task is crasher:
@@ -449,14 +458,14 @@
             if not task.crashes:
                 del self.suspects[task.id]
 
-    def _end(self, event):
+    def _end_task(self, event):
         task = self.tasks[event.task]
         record = self.find_workload(event.task)
         if task.vm:
             self._release(record, task)
         if event.crasher:
-            self._acquit_others(task)
-        self._clear_task(task)
+            self._remove_shared_crashes(task)
+        self._clear_crashes(task)
         task.state = event.state
         task.result = event.result
         if event.state == data.TaskState.SUCCEEDED:
@@ -469,7 +478,7 @@
         self.rosters.append(event.roster)
         del self.rosters[:-MAX_ROSTERS]
 
-    def _note(self, event):
+    def _add_decision(self, event):
         self.history.add(event.decision)
 
 
@@ -477,29 +486,29 @@
     events.OwnerChanged: ShardState._change_owner,
     events.MemberAdded: ShardState._add_member,
     events.MemberRemoved: ShardState._remove_member,
-    events.WorkloadAccepted: ShardState._accept,
-    events.WorkloadChanged: ShardState._change,
-    events.WorkloadCancelled: ShardState._cancel,
-    events.WorkloadDropped: ShardState._drop,
+    events.WorkloadAccepted: ShardState._accept_workload,
+    events.WorkloadChanged: ShardState._change_workload,
+    events.WorkloadCancelled: ShardState._cancel_workload,
+    events.WorkloadDropped: ShardState._drop_workload,
     events.JobAccepted: ShardState._accept_job,
     events.JobCancelled: ShardState._cancel_job,
     events.JobDropped: ShardState._drop_job,
-    events.TaskPlaced: ShardState._place,
-    events.TaskPrepared: ShardState._prepare,
-    events.TaskSaved: ShardState._save,
-    events.TaskEvicting: ShardState._evict,
-    events.TaskRequeued: ShardState._requeue,
-    events.TaskCleared: ShardState._clear,
-    events.TaskEnded: ShardState._end,
+    events.TaskPlaced: ShardState._place_task,
+    events.TaskPrepared: ShardState._prepare_task,
+    events.TaskSaved: ShardState._save_checkpoint,
+    events.TaskEvicting: ShardState._evict_task,
+    events.TaskRequeued: ShardState._requeue_task,
+    events.TaskCleared: ShardState._clear_suspect,
+    events.TaskEnded: ShardState._end_task,
     events.RosterChanged: ShardState._change_roster,
-    events.DecisionMade: ShardState._note,
+    events.DecisionMade: ShardState._add_decision,
 }
 
 
 def restore_state(contents):
-    """Return the state that a log's contents come to.
+    """Return the state that results from a log's contents.
 
-    :raises ValueError: the log holds what no portwharf wrote
+    :raises ValueError: the log is corrupt or was not written by portwharf
     """
     try:
         state = ShardState()
@@ -511,5 +520,5 @@
             for event in batch:
                 state.apply(event)
     except (msgpack.UnpackException, KeyError) as exc:
-        raise ValueError(f'the log cannot be read: {exc}') from exc
+        raise ValueError(f'the shard log is not valid: {exc}') from exc
     return state
--- a/packages/scheduler/portwharf/scheduler/suspects.py
+++ b/packages/scheduler/portwharf/scheduler/suspects.py
@@ -1,26 +1,30 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Tasks that crash the workers that start them, told from crashes of workers.
-
-Each worker's crash leaves all that had just begun there under suspicion. A
-task that keeps at work for a while is cleared, and so is what had been at
-work when its worker crashed. One that crashes its workers is what their
-crashes have in common, so that suspects are kept apart from one another, and
-it is given up once nothing else explains the crashes as well. Its crashes are
-then taken off the others.
-
-What else explains them is ordinary trouble: racks and zones are lost, workers
-are restarted in series, and a task may be placed ahead of such a wave more
-than once. So after its second crash a task is held back until it is calm. Two
-crashes right after its start, with no other near them, are enough. Otherwise
-it is tried once more, in calm and away from other suspects; a crash of that
-worker, and of no other, settles it. Four are enough in any case, as users
-allow five. Each one more costs all that runs on a VM; one too few costs a
-sound job. A worker that has crashed lately, by no task that was given up, may
-be what is unsound: its crash shows little, and no trial is made there.
-
-The state keeps what is counted in the log: it must outlast the owner, the
-sides and a loss of all power. This module judges and changes nothing.
+"""Identifies tasks that crash the workers that start them.
+
+Every task that had just started on a worker when it crashed becomes a
+suspect. A suspect is cleared once it has run for a while, and so is a task
+that was past its startup when its worker crashed. A task that crashes its
+workers is what their crashes have in common. To tell suspects apart they are
+placed on different VMs, and one is given up as soon as nothing else explains
+its crashes equally well. Its crashes are then removed from the other
+suspects.
+
+Infrastructure failures may explain them as well: racks and zones fail,
+workers are restarted one after another, and a task may be placed just before
+such failures more than once. So after its second crash a task is held back
+until workers have stopped crashing. Two crashes right after its start, with
+no other crash near them, are conclusive. Otherwise the task is started once
+more as a trial, in a quiet period and away from other suspects. If only that
+worker crashes, that is conclusive. Four crashes are conclusive in any case,
+because users allow five. Each further crash costs everything that runs on a
+VM, and giving up too early fails a healthy job. A worker that has crashed
+recently, under no task that was given up, may be faulty itself: its crash
+proves little, and no trial runs there.
+
+The crashes of each task are part of the shard's state, in the log: they must
+outlast the owner, the sides and a power failure of the whole site. This
+module only assesses them and changes no state.
 """
 
 import dataclasses
@@ -29,52 +33,50 @@
 
 from portwharf.core import data
 
-# A crash as near to a task's start as this is likely the task's doing. Sides
-# were seen to notice one 15 to 130 ms after the start was sent.
-CLOSE_MS = 250
-# What has been at work for longer is not what crashes its worker: that comes
-# with the start.
-YOUNG_MS = 3000
-# A task is held back, and judged, after so many crashes.
+# A crash this soon after a task's start was likely caused by the task. Leaves
+# room for the time that a side takes to notice the crash.
+CLOSE_TO_START_MS = 250
+# A task that has run for longer did not cause its worker's crash.
+STARTUP_MS = 3000
+# From this number of crashes on, a task is held back and assessed.
 SUSPICIOUS = 2
-# In any case enough; and where another job was under as many.
-ENOUGH = 4
+# Conclusive unless a task of another job was under as many of them.
+GIVE_UP_CRASHES = 4
 MOST = 5
-# It is calm without a crash for so long at least, and for so many times the
-# longest of the last gaps between crashes: what comes in series goes on. With
-# 1 or 2 s alone, a series a little slower than that met the trials, and 1 or 2
-# sound jobs of 200 days' were given up (make bench-crashes, series).
-CALM_SECONDS = 1.0
-CALM_GAPS = 2.0
-LAST_GAPS = 3
-# Crashes further apart than this are no series.
-SERIES_SECONDS = 5.0
-# Trials wait for no longer: where it is never calm, work must go on.
-LONGEST_SECONDS = 20.0
-# A worker that has crashed so lately may crash again by itself.
-STEADY_SECONDS = 30.0
-# For so long crashes are remembered: longer than any of the above looks back.
-KEEP_SECONDS = 120.0
+# A quiet period is at least this long, and at least this many times the
+# longest of the recent gaps between crashes, so that no trial starts in the
+# middle of a slow series of crashes.
+MIN_QUIET_SECONDS = 1.0
+QUIET_GAP_FACTOR = 2.0
+RECENT_GAPS = 3
+# Crashes further apart than this are not one series.
+MAX_SERIES_GAP_SECONDS = 5.0
+# After this a trial starts even if other workers go on crashing.
+MAX_HOLD_SECONDS = 20.0
+# A worker counts as unstable for this long after a crash.
+UNSTABLE_SECONDS = 30.0
+# Longer than any of the intervals above.
+RETENTION_SECONDS = 120.0
 
 
 class Verdict(enum.Enum):
-    """What is to become of a task that waits."""
+    """How a waiting task is treated."""
 
     # It is placed like any other.
     PLACE = 1
-    # It is held back, for now.
-    WAIT = 2
-    # It is placed, away from other suspects.
+    # It is held back for now.
+    HOLD = 2
+    # It is placed as a trial, away from other suspects.
     TRY = 3
     GIVE_UP = 4
 
 
 @dataclasses.dataclass(slots=True)
-class CrashSeen:
-    """A worker's crash under a task.
+class CrashRecord:
+    """A worker's crash while a task ran there.
 
-    :param name: the crash, as :func:`name_crash` gives
-    :param close: it came right after the task's start
+    :param name: the crash's name, as made by :func:`make_crash_name`
+    :param close: whether it came right after the task's start
     """
 
     name: str = ''
@@ -82,32 +84,36 @@
 
 
 class CrashTimes:
-    """When workers crashed, as far as one owner has heard."""
+    """When workers crashed, as observed by one owner."""
 
-    def __init__(self, began):
-        """Take the time from which on it hears of them."""
-        self._began = began
+    def __init__(self, observed_from):
+        """Take the time from which on crashes are reported to it."""
+        self._observed_from = observed_from
         self._times = {}
 
-    def note(self, name, now):
-        """Note a crash, once, and forget old ones."""
+    def record(self, name, now):
+        """Record a crash, once, and drop expired ones."""
         self._times.setdefault(name, now)
         self._times = {
             one: at
             for one, at in self._times.items()
-            if now - at < KEEP_SECONDS
+            if now - at < RETENTION_SECONDS
         }
 
-    def find(self, name):
-        """Return when a crash was heard of.
+    def find_time(self, name):
+        """Return when a crash was first reported.
 
-        :returns: the beginning if it was before that, or is long ago
+        :returns: the start of observation if the crash is not recorded
         """
-        return self._times.get(name, self._began)
+        return self._times.get(name, self._observed_from)
 
     def is_calm(self, since, names=()):
-        """Tell whether no crash but some was heard of since a time."""
-        if since < self._began:
+        """Return whether no crash was reported since a time.
+
+        :param names: names of crashes that are ignored
+        :returns: False also if observation started later
+        """
+        if since < self._observed_from:
             return False
         return not any(
             at >= since
@@ -115,128 +121,142 @@
             if name not in names
         )
 
-    def measure_calm(self):
-        """Return for how many seconds no crash has to come to be calm."""
-        times = sorted(self._times.values())[-LAST_GAPS - 1 :]
+    def measure_quiet_seconds(self):
+        """Return how long no worker may crash before a trial starts."""
+        times = sorted(self._times.values())[-RECENT_GAPS - 1 :]
         gaps = [two - one for one, two in itertools.pairwise(times)]
-        series = [gap for gap in gaps if gap < SERIES_SECONDS]
-        return max(CALM_SECONDS, CALM_GAPS * max(series, default=0.0))
+        series = [gap for gap in gaps if gap < MAX_SERIES_GAP_SECONDS]
+        return max(
+            MIN_QUIET_SECONDS, QUIET_GAP_FACTOR * max(series, default=0.0)
+        )
 
-    def is_steady(self, name):
-        """Tell whether a crash was its worker's first for long."""
-        vm = _find_vm(name)
-        at = self.find(name)
+    def was_worker_stable(self, name):
+        """Return whether a crash's worker had not crashed shortly before."""
+        vm = _parse_vm(name)
+        at = self.find_time(name)
         return not any(
-            at - STEADY_SECONDS < other < at
+            at - UNSTABLE_SECONDS < other < at
             for one, other in self._times.items()
-            if one != name and _find_vm(one) == vm
+            if one != name and _parse_vm(one) == vm
         )
 
-    def list_unsteady(self, now):
-        """Return the names of the VMs whose workers have crashed lately."""
+    def list_unstable_vms(self, now):
+        """Return the names of the VMs whose workers crashed recently."""
         return {
-            _find_vm(name)
+            _parse_vm(name)
             for name, at in self._times.items()
-            if now - at < STEADY_SECONDS
+            if now - at < UNSTABLE_SECONDS
         }
 
     def forget(self, names):
-        """Forget crashes that a task was found to have brought about."""
+        """Remove crashes that were caused by a task that is given up."""
         for name in names:
             self._times.pop(name, None)
 
 
-def name_crash(vm, crash):
-    """Return a crash's name in the shard.
+def make_crash_name(vm, crash):
+    """Return a name for a crash that is unique in the shard.
 
-    :param crash: its name among those of the VM
+    :param crash: the crash's name, unique on its VM
     """
     return f'{vm}/{crash}'
 
 
-def _find_vm(name):
-    """Return the VM of a crash."""
+def _parse_vm(name):
+    """Return the VM that a crash's name contains."""
     return name.partition('/')[0]
 
 
-def is_young(ran_ms):
-    """Tell whether a crash may be the doing of a task of this age.
+def is_in_startup(ran_ms):
+    """Return whether a task of this age may have caused a crash.
 
     :param ran_ms: time since its start, in ms; below 0 if it is not known
     """
-    return ran_ms <= YOUNG_MS
+    return ran_ms <= STARTUP_MS
 
 
-def is_close(ran_ms):
-    """Tell whether a crash came right after a task's start."""
-    return 0 <= ran_ms <= CLOSE_MS
+def is_close_to_start(ran_ms):
+    """Return whether a crash came right after a task's start."""
+    return 0 <= ran_ms <= CLOSE_TO_START_MS
 
 
-def judge(state, task, times, tried, now):
+def assess(state, task, times, is_trial, now):
     """Return the :class:`Verdict` on a task.
 
-    Asked once all are counted that the latest crash has ended.
+    Must be called only after every task that the latest crash ended has been
+    counted.
 
     :param state: the shard's state
     :param task: a ``state.TaskRecord``
     :param times: a :class:`CrashTimes`
-    :param tried: its last attempt was begun in calm, after the second crash
+    :param is_trial: whether its last attempt was a trial
     """
-    seen = len(task.crashes)
-    if task.state != data.TaskState.WAITING or seen < SUSPICIOUS:
+    count = len(task.crashes)
+    if task.state != data.TaskState.WAITING or count < SUSPICIOUS:
         return Verdict.PLACE
-    if seen >= MOST or (seen >= ENOUGH and _stands_out(state, task)):
+    if count >= MOST or (
+        count >= GIVE_UP_CRASHES and _is_prime_suspect(state, task)
+    ):
         return Verdict.GIVE_UP
-    quiet = now - times.find(task.crashes[-1].name)
-    calm = times.measure_calm()
-    if quiet < calm:
-        return Verdict.WAIT
-    if _is_enough(task, times, tried, calm) and _stands_out(state, task):
+    since_last = now - times.find_time(task.crashes[-1].name)
+    quiet_seconds = times.measure_quiet_seconds()
+    if since_last < quiet_seconds:
+        return Verdict.HOLD
+    if _is_conclusive(
+        task, times, is_trial, quiet_seconds
+    ) and _is_prime_suspect(state, task):
         return Verdict.GIVE_UP
-    if times.is_calm(now - calm) or quiet >= LONGEST_SECONDS:
+    if times.is_calm(now - quiet_seconds) or since_last >= MAX_HOLD_SECONDS:
         return Verdict.TRY
-    return Verdict.WAIT
+    return Verdict.HOLD
 
 
-def _is_enough(task, times, tried, calm):
-    """Tell whether nothing but a task explains its crashes.
+def _is_conclusive(task, times, is_trial, quiet_seconds):
+    """Return whether only the task itself explains its crashes.
 
-    :param calm: for how long around them no other may have come, in seconds
+    :param quiet_seconds: how long before its crashes no other worker may
+        have crashed, unless the last attempt was a trial
     """
     names = {one.name for one in task.crashes}
-    telling = task.crashes[-1:] if tried else task.crashes
-    if not all(one.close and times.is_steady(one.name) for one in telling):
+    evidence = task.crashes[-1:] if is_trial else task.crashes
+    if not all(
+        one.close and times.was_worker_stable(one.name) for one in evidence
+    ):
         return False
-    began = times.find(telling[0].name)
-    # A trial was begun in calm.
-    before = CALM_SECONDS if tried else calm
-    return times.is_calm(began - before, names)
+    first = times.find_time(evidence[0].name)
+    # A trial starts only after a quiet period of its own.
+    before = MIN_QUIET_SECONDS if is_trial else quiet_seconds
+    return times.is_calm(first - before, names)
 
 
-def _stands_out(state, task):
-    """Tell whether no other job was as often under the task's crashes."""
+def _is_prime_suspect(state, task):
+    """Return whether no task of another job is as suspicious.
+
+    Only tasks that ran on the worker that crashed last are compared.
+    """
     job = find_unit(state, task)
     last = task.crashes[-1].name
     return not any(
-        find_unit(state, other) != job and _weigh(other) >= _weigh(task)
+        find_unit(state, other) != job
+        and _measure_suspicion(other) >= _measure_suspicion(task)
         for other in state.suspects.values()
         if any(one.name == last for one in other.crashes)
     )
 
 
 def find_unit(state, task):
-    """Return what is given up with a task, as :func:`name_unit` gives."""
+    """Return the id of the job or workload that fails with a task."""
     return name_unit(state.find_workload(task.id))
 
 
 def name_unit(record):
-    """Return what is given up together: a job, or a workload alone.
+    """Return the id of what fails together: a job, or a lone workload.
 
     :param record: a ``state.WorkloadRecord``
     """
     return record.workload.job or record.id
 
 
-def _weigh(task):
-    """Return how much speaks against a task."""
+def _measure_suspicion(task):
+    """Return a sort key: the more suspicious a task, the greater."""
     return len(task.crashes), sum(one.close for one in task.crashes)
--- a/packages/scheduler/portwharf/scheduler/suspects_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspects_test.py
@@ -14,7 +14,7 @@
 
 TASK = f'{jobs_test.FIRST}.0'
 OTHER = 'e' * 16
-WAIT = suspects.Verdict.WAIT
+HOLD = suspects.Verdict.HOLD
 TRY = suspects.Verdict.TRY
 GIVE_UP = suspects.Verdict.GIVE_UP
 PLACE = suspects.Verdict.PLACE
@@ -34,8 +34,8 @@
     def crash(self, at, vm='vm-1', ran_ms=20, tasks=(TASK,)):
         """Have a VM's worker crash under some tasks, or under none."""
         self.attempt += 1
-        name = suspects.name_crash(vm, f'life-{self.attempt}')
-        self.times.note(name, at)
+        name = suspects.make_crash_name(vm, f'life-{self.attempt}')
+        self.times.record(name, at)
         for task in tasks:
             placed = events.TaskPlaced(task, self.attempt, vm)
             self.state.apply(placed)
@@ -45,10 +45,10 @@
                 )
             )
 
-    def judge(self, now, tried=False, task=TASK):
+    def judge(self, now, is_trial=False, task=TASK):
         """Return the verdict on a task."""
         found = self.state.tasks[task]
-        return suspects.judge(self.state, found, self.times, tried, now)
+        return suspects.assess(self.state, found, self.times, is_trial, now)
 
 
 def test_first_crash_changes_nothing(case):
@@ -61,7 +61,7 @@
     docket = Docket()
     docket.crash(50.0, 'vm-1')
     docket.crash(50.1, 'vm-2')
-    case.assertIs(docket.judge(50.5), WAIT)
+    case.assertIs(docket.judge(50.5), HOLD)
     case.assertIs(docket.judge(51.2), GIVE_UP)
 
 
@@ -70,7 +70,7 @@
     docket.crash(50.0, 'vm-1')
     docket.crash(50.1, 'vm-2')
     docket.crash(50.2, 'vm-3', tasks=())
-    case.assertIs(docket.judge(50.9), WAIT)
+    case.assertIs(docket.judge(50.9), HOLD)
     case.assertIs(docket.judge(51.3), TRY)
 
 
@@ -80,7 +80,7 @@
     docket.crash(50.0, 'vm-1')
     docket.crash(50.1, 'vm-2')
     docket.crash(52.0, 'vm-4')
-    case.assertIs(docket.judge(57.0, tried=True), GIVE_UP)
+    case.assertIs(docket.judge(57.0, is_trial=True), GIVE_UP)
     case.assertIs(docket.judge(57.0), TRY)
 
 
@@ -90,7 +90,7 @@
         docket.crash(50.0 + 2 * turn, f'vm-{turn}', tasks=())
     docket.crash(58.0, 'vm-8', ran_ms=1900)
     docket.crash(60.0, 'vm-9', ran_ms=1900)
-    case.assertIs(docket.judge(63.9), WAIT)
+    case.assertIs(docket.judge(63.9), HOLD)
     case.assertIs(docket.judge(64.1), TRY)
 
 
@@ -112,7 +112,7 @@
 def test_what_was_long_at_work_is_cleared_by_a_crash(case):
     docket = Docket()
     docket.crash(50.0, 'vm-1')
-    docket.crash(60.0, 'vm-2', ran_ms=suspects.YOUNG_MS + 1)
+    docket.crash(60.0, 'vm-2', ran_ms=suspects.STARTUP_MS + 1)
     case.assertEqual(docket.state.tasks[TASK].crashes, [])
     case.assertEqual(docket.state.suspects, {})
 
@@ -124,7 +124,7 @@
     docket.crash(50.1, 'vm-2', tasks=both)
     case.assertIs(docket.judge(55.0), TRY)
     docket.crash(56.0, 'vm-3', tasks=both[:1])
-    case.assertIs(docket.judge(61.0, tried=True), GIVE_UP)
+    case.assertIs(docket.judge(61.0, is_trial=True), GIVE_UP)
 
 
 def test_crashes_of_what_is_given_up_are_taken_off_the_others(case):
@@ -157,7 +157,7 @@
     docket.crash(50.0, 'vm-1')
     docket.crash(50.1, 'vm-2')
     docket.times = suspects.CrashTimes(60.0)
-    case.assertIs(docket.judge(60.5), WAIT)
+    case.assertIs(docket.judge(60.5), HOLD)
     case.assertIs(docket.judge(61.5), TRY)
 
 
@@ -213,7 +213,7 @@
         case,
         test_two_crashes_at_the_start_are_enough_once_it_stays_calm,
         suspects.CrashTimes,
-        'measure_calm',
+        'measure_quiet_seconds',
         lambda self: 0.0,
     )
 
@@ -233,7 +233,7 @@
         case,
         test_crash_of_a_worker_that_crashed_before_shows_little,
         suspects.CrashTimes,
-        'is_steady',
+        'was_worker_stable',
         lambda self, name: True,
     )
 
@@ -243,6 +243,6 @@
         case,
         test_two_jobs_under_the_same_crashes_are_told_apart_first,
         suspects,
-        '_stands_out',
+        '_is_prime_suspect',
         lambda made, task: True,
     )
