--- a/packages/scheduler/portwharf/scheduler/desk.py
+++ b/packages/scheduler/portwharf/scheduler/desk.py
@@ -20,6 +20,7 @@
 from portwharf.scheduler import operations
 
 OPERATION_TIMEOUT_SECONDS = 8.0
+# The classes of the arguments of read and of write calls, by method.
 READS = {
     'list-workloads': operations.Query,
     'list-tasks': operations.Query,
--- a/packages/scheduler/portwharf/scheduler/reconcile.py
+++ b/packages/scheduler/portwharf/scheduler/reconcile.py
@@ -16,8 +16,8 @@
 from portwharf.scheduler import events
 from portwharf.scheduler import suspects
 
-# A batch task fails with this many failed attempts, unless it has a limit of
-# its own.
+# For batch tasks without a limit of their own. All attempts count, except
+# evicted ones; the task fails if the last of them fails.
 MAX_FAILURES = 3
 
 _ENDED_STATES = frozenset(
@@ -188,6 +188,7 @@
 
 
 def _process_current(state, vm, task, report, verdict):
+    """Process a report of a task's current attempt."""
     if report.state == data.RunState.RUNNING:
         if task.state == data.TaskState.PREPARED:
             # It was started while the store was down.
@@ -220,23 +221,23 @@
 def _make_end_event(state, task, report):
     """Return the event for the end of an attempt."""
     workload = state.find_workload(task.id).workload
-    batch = workload.kind == data.Kind.BATCH
-    if report.state == data.RunState.SUCCEEDED and batch:
+    is_batch = workload.kind == data.Kind.BATCH
+    if report.state == data.RunState.SUCCEEDED and is_batch:
         return _make_task_ended(report, data.TaskState.SUCCEEDED)
-    failed = report.state == data.RunState.FAILED
+    has_failed = report.state == data.RunState.FAILED
     record = state.find_workload(task.id)
-    if failed and batch and _is_final_attempt(task, record):
+    if has_failed and is_batch and _is_final_attempt(task, record):
         return _make_task_ended(report, data.TaskState.FAILED)
-    evicted = report.state == data.RunState.CHECKPOINTED
+    was_evicted = report.state == data.RunState.CHECKPOINTED
     crash = ''
     if report.crash:
         crash = suspects.make_crash_name(task.vm, report.crash)
     return events.TaskRequeued(
         report.task,
         report.attempt,
-        evicted,
+        was_evicted,
         report.checkpoint,
-        failed,
+        has_failed,
         crash,
         report.ran_ms,
     )
@@ -245,21 +246,21 @@
 def _is_final_attempt(task, record):
     """Return whether one more failed attempt fails the task.
 
-    If its workload sets a limit, only failures count, and not attempts that
-    were lost with their VM.
+    If its workload sets a limit, only failures count, not attempts that were
+    lost with their VM. A gang has one count for all its members.
     """
     workload = record.workload
     if workload.gang:
         is_new_failure = task.attempt > record.failed_attempt
-        most = workload.max_failures or MAX_FAILURES
-        return record.failures + is_new_failure >= most
+        limit = workload.max_failures or MAX_FAILURES
+        return record.failures + is_new_failure >= limit
     if workload.max_failures:
         return task.failures + 1 >= workload.max_failures
     return task.attempt - task.evictions >= MAX_FAILURES
 
 
-def _make_task_ended(report, ended):
-    return events.TaskEnded(report.task, report.attempt, ended, report.result)
+def _make_task_ended(report, state):
+    return events.TaskEnded(report.task, report.attempt, state, report.result)
 
 
 def _add(state, verdict, event):
--- a/packages/scheduler/portwharf/scheduler/state.py
+++ b/packages/scheduler/portwharf/scheduler/state.py
@@ -88,7 +88,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Snapshot:
-    """A shard's state as it is stored."""
+    """A shard's state as it is stored.
+
+    :param history: encoded decisions; stored in a snapshot of its own
+    """
 
     epoch: int = 0
     owner: str = ''
@@ -111,6 +114,8 @@
         # Workloads that may still have tasks to run, by id.
         self.unended = {}
         self.tasks = {}
+        # By VM: resources reserved by placed tasks, placed tasks by id, and
+        # prepared tasks by id.
         self.reserved = collections.defaultdict(data.Resources)
         self.held = collections.defaultdict(dict)
         self.prepared = collections.defaultdict(dict)
@@ -417,11 +422,11 @@
             self._update_gang(record, event)
         if event.crash:
             self._record_crash(task, event)
-        ended_jobs = record.cancelled or task.number >= record.workload.count
+        is_unwanted = record.cancelled or task.number >= record.workload.count
         task.state = (
-            data.TaskState.CANCELLED if ended_jobs else data.TaskState.WAITING
+            data.TaskState.CANCELLED if is_unwanted else data.TaskState.WAITING
         )
-        if ended_jobs:
+        if is_unwanted:
             self._clear_crashes(task)
 
     def _update_gang(self, record, event):
