--- a/packages/scheduler/portwharf/scheduler/births_test.py
+++ b/packages/scheduler/portwharf/scheduler/births_test.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Workers that begin again under their ids, at any moment, on the cluster.
+"""Workers that restart under the same id at any moment.
 
-What ran there is begun again, once, and comes to its end; what runs elsewhere
-is left alone. The cluster checks after each step that no task runs in two
-places, and that no worker is given more than it holds.
+Their tasks are restarted once and end; tasks of other workers are not
+affected. The cluster checks after each step that no task runs twice and that
+no worker is overcommitted.
 """
 
 from portwharf.scheduler import jobs_test
@@ -12,7 +12,7 @@
 
 
 def make_cluster():
-    """Return a cluster on which three tasks run."""
+    """Return a cluster that runs three tasks."""
     made = cluster.Cluster(3)
     made.submit(3)
     made.run(4)
@@ -20,7 +20,7 @@
 
 
 def list_running(made):
-    """Return the tasks that run, by the workers' own record."""
+    """Return the ids of the tasks that workers run."""
     return sorted(
         run.attempt.task
         for node in made.nodes
@@ -30,7 +30,7 @@
 
 
 def find_busy(made):
-    """Return a node whose worker runs something, not the owner's."""
+    """Return a node whose worker runs a task, preferably not the owner's."""
     return next(
         node
         for node in reversed(made.nodes)
@@ -39,26 +39,26 @@
 
 
 def check_all_run_again(case, made, before):
-    """Check that the same tasks run, and come to their ends."""
+    """Check that the same tasks run again, and that they end."""
     made.run(30)
     case.assertEqual(list_running(made), before)
     made.settle()
     made.check_end()
 
 
-def test_what_ran_in_a_former_life_is_begun_again_once(case):
-    """However soon the next one is there, and however many there are."""
-    for births in ((0.0,), (0.2,), (0.6,), (0.0, 0.0, 0.0), (0.2, 0.0)):
-        with case.subTest(births=births):
+def test_tasks_of_a_crashed_worker_are_restarted_once(case):
+    """Covers immediate, delayed and repeated restarts."""
+    for delays in ((0.0,), (0.2,), (0.6,), (0.0, 0.0, 0.0), (0.2, 0.0)):
+        with case.subTest(delays=delays):
             made = make_cluster()
             before = list_running(made)
             node = find_busy(made)
-            for seconds in births:
+            for seconds in delays:
                 node.worker.crash(seconds)
             check_all_run_again(case, made, before)
 
 
-def test_birth_while_the_side_is_down(case):
+def test_worker_restart_while_the_side_is_down(case):
     made = make_cluster()
     before = list_running(made)
     node = find_busy(made)
@@ -67,7 +67,7 @@
     check_all_run_again(case, made, before)
 
 
-def test_birth_while_the_side_stands_still(case):
+def test_worker_restart_while_the_side_is_paused(case):
     for seconds in (1.0, 12.0):
         with case.subTest(seconds=seconds):
             made = make_cluster()
@@ -80,7 +80,7 @@
             check_all_run_again(case, made, before)
 
 
-def test_birth_behind_a_cut(case):
+def test_worker_restart_behind_a_network_partition(case):
     for seconds in (1.0, 12.0):
         with case.subTest(seconds=seconds):
             made = make_cluster()
@@ -94,7 +94,7 @@
             check_all_run_again(case, made, before)
 
 
-def test_birth_as_the_owner_changes(case):
+def test_worker_restart_as_the_owner_changes(case):
     made = make_cluster()
     before = list_running(made)
     node = find_busy(made)
@@ -103,8 +103,8 @@
     check_all_run_again(case, made, before)
 
 
-def test_births_under_one_id_are_crashes_of_their_own(case):
-    """Each counts under the tasks that had just begun there."""
+def test_restarts_under_one_id_count_as_separate_crashes(case):
+    """Each of them counts for the tasks that had just started there."""
     made = cluster.Cluster(1)
     made.submit_job(jobs_test.make_job(jobs_test.make_step(1)))
     made.run(1.0)
--- a/packages/scheduler/portwharf/scheduler/decisionlog_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisionlog_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The owner's lines, which ``report delays`` reads."""
+"""The owner's log lines, which ``report delays`` parses."""
 
 from portwharf.core import data
 from portwharf.scheduler import decisionlog
@@ -11,7 +11,7 @@
 LOGGER = 'portwharf.scheduler.decisionlog'
 
 
-def test_placements_name_tasks_and_attempts(case):
+def test_placements_are_logged_with_tasks_and_attempts(case):
     rows = [
         placement.Placement('a.0.0.3', 1, 'vm-1'),
         placement.Placement('a.0.0.12', 4, 'vm-1'),
@@ -19,11 +19,11 @@
     ]
     with case.assertLogs(LOGGER) as watched:
         decisionlog.log_placements(rows)
-    told = [(one.vm, one.count, one.tasks) for one in watched.records]
-    case.assertEqual(told, [('vm-1', 2, '3.1,12.4'), ('vm-2', 1, '5.1')])
+    logged = [(one.vm, one.count, one.tasks) for one in watched.records]
+    case.assertEqual(logged, [('vm-1', 2, '3.1,12.4'), ('vm-2', 1, '5.1')])
 
 
-def test_successes_of_a_workload_have_one_line(case):
+def test_successes_of_a_workload_are_logged_in_one_line(case):
     taken = [
         events.TaskEnded('a.0.0.3', 1, data.TaskState.SUCCEEDED),
         events.TaskEnded('a.0.0.4', 1, data.TaskState.FAILED),
@@ -31,11 +31,11 @@
     ]
     with case.assertLogs(LOGGER) as watched:
         decisionlog.log_successes('vm-1', taken, {'a.0.0': 900}.get)
-    told = [(one.workload, one.tasks, one.run_ms) for one in watched.records]
-    case.assertEqual(told, [('a.0.0', '3.1,5.2', 900)])
+    logged = [(one.workload, one.tasks, one.run_ms) for one in watched.records]
+    case.assertEqual(logged, [('a.0.0', '3.1,5.2', 900)])
 
 
-def test_long_wait_has_one_line_an_episode(case):
+def test_long_wait_is_logged_once(case):
     log = decisionlog.WaitLog()
     choice = choosing.Choice()
     choice.refusals['processors'] = 3
@@ -46,5 +46,5 @@
         log.update({}, 2.0)
         for now in (3.0, 4.0):
             log.update(waits, now)
-    told = [(one.workload, one.reason) for one in watched.records]
-    case.assertEqual(told, [('a.0.0', 'no-room, processors 3')] * 2)
+    logged = [(one.workload, one.reason) for one in watched.records]
+    case.assertEqual(logged, [('a.0.0', 'no-room, processors 3')] * 2)
--- a/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
@@ -1,6 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Rules of jobs, orders and pairs taken out one at a time, each caught."""
+"""Mutation checks: each rule of jobs, commands and pairs has a test.
+
+Each test disables one rule and checks that the named test then fails.
+"""
 
 import result
 
@@ -40,7 +43,7 @@
 check = faults_test.check
 
 
-def test_steps_begin_before_what_they_come_after(case):
+def test_step_started_before_its_dependencies_is_caught(case):
     check(
         case,
         jobs_test.test_step_waits_until_all_before_it_have_succeeded,
@@ -50,7 +53,7 @@
     )
 
 
-def test_lost_attempts_count_as_failures(case):
+def test_lost_attempts_counted_as_failures_are_caught(case):
     check(
         case,
         jobs_test.test_lost_attempts_do_not_count_as_failures,
@@ -60,7 +63,7 @@
     )
 
 
-def test_attempts_without_end(case):
+def test_unlimited_attempts_are_caught(case):
     check(
         case,
         jobs_test.test_job_fails_only_with_its_last_attempt,
@@ -70,20 +73,20 @@
     )
 
 
-def test_cancelled_tasks_begun_anew(case):
+def test_restarted_cancelled_task_is_caught(case):
     check(
         case,
-        jobs_test.test_what_nobody_wants_is_stopped_when_it_is_not_listed,
+        jobs_test.test_unlisted_unwanted_task_is_stopped,
         reconcile,
         'make_missing_command',
         reconcile.make_start,
     )
 
 
-def test_times_begin_early(case):
+def test_occurrence_that_starts_early_is_caught(case):
     check(
         case,
-        jobs_test.test_times_become_due_one_by_one,
+        jobs_test.test_occurrences_become_due_one_by_one,
         planning,
         'list_demands',
         lambda made, avoided, now_ms: [
@@ -92,7 +95,7 @@
     )
 
 
-def test_ends_shown_before_they_are_logged(case):
+def test_end_shown_before_it_is_logged_is_caught(case):
     def note(self, event, batch):
         original(self, event, batch)
         self.unlogged_job_ends.clear()
@@ -107,7 +110,7 @@
     )
 
 
-def test_prepared_work_taken_back_too_early(case):
+def test_prepared_task_requeued_too_early_is_caught(case):
     original = preparing.Preparation._resolve_task
 
     def resolve(self, task, view, *more):
@@ -117,14 +120,14 @@
 
     check(
         case,
-        preparing_test.test_prepared_work_is_kept_until_its_side_has_told,
+        preparing_test.test_prepared_task_is_kept_until_its_side_has_reported,
         preparing.Preparation,
         '_resolve_task',
         resolve,
     )
 
 
-def test_doubtful_starts_called_gone_at_once(case):
+def test_unanswered_start_reported_gone_at_once_is_caught(case):
     check(
         case,
         losses_test.test_start_is_not_called_gone_while_its_stop_is_unanswered,
@@ -134,7 +137,7 @@
     )
 
 
-def test_former_lives_forgotten(case):
+def test_forgotten_previous_life_is_caught(case):
     check(
         case,
         losses_test.test_attempt_of_a_former_life_of_the_worker_is_gone,
@@ -144,7 +147,7 @@
     )
 
 
-def test_vanished_attempts_kept_quiet(case):
+def test_unreported_vanished_attempt_is_caught(case):
     check(
         case,
         losses_test.test_absent_worker_runs_nothing,
@@ -154,7 +157,7 @@
     )
 
 
-def test_leaving_workers_given_work(case):
+def test_start_on_a_leaving_worker_is_caught(case):
     original = agent.Agent._check_start
 
     def check_start(self, message, known):
@@ -170,7 +173,7 @@
     )
 
 
-def test_tails_over_their_targets_ignored(case):
+def test_ignored_latency_over_its_target_is_caught(case):
     check(
         case,
         pacing_test.test_tail_over_its_target_brakes_everything_that_fills,
@@ -180,7 +183,7 @@
     )
 
 
-def test_stuck_tasks_moved_anywhere(case):
+def test_move_without_improvement_is_caught(case):
     check(
         case,
         rehoming_test.test_nothing_moves_where_it_would_work_no_better,
@@ -190,7 +193,7 @@
     )
 
 
-def test_tasks_moved_before_they_had_a_chance(case):
+def test_move_right_after_the_start_is_caught(case):
     check(
         case,
         rehoming_test.test_task_that_has_just_begun_stays,
@@ -200,7 +203,7 @@
     )
 
 
-def test_lost_answers_of_the_store_taken_for_refusals(case):
+def test_lost_store_answer_taken_for_a_refusal_is_caught(case):
     check(
         case,
         kv_test.test_lost_answer_is_unknown_and_a_refusal_is_not,
@@ -210,7 +213,7 @@
     )
 
 
-def test_unlogged_ends_acknowledged(case):
+def test_acknowledged_unlogged_end_is_caught(case):
     def move(self):
         for number in sorted(self._listed):
             self._listed.pop(number)
@@ -225,7 +228,7 @@
     )
 
 
-def test_numbers_of_a_former_life_acknowledged(case):
+def test_acknowledged_number_of_a_previous_life_is_caught(case):
     for test in (
         runner_test.test_new_life_is_never_told_of_the_old_ones_numbers,
         rebirth_test.test_end_in_a_life_under_a_former_id_is_told_at_once,
@@ -234,20 +237,20 @@
         check(case, test, ends, 'Ends', lambda kept=kept: kept)
 
 
-def test_lives_told_apart_by_their_ids_alone(case):
+def test_lives_compared_by_id_alone_are_caught(case):
     def is_same(one, other):
         return other is not None and one.instance == other.instance
 
     check(
         case,
-        births_test.test_births_under_one_id_are_crashes_of_their_own,
+        births_test.test_restarts_under_one_id_count_as_separate_crashes,
         data.LifeId,
         '__eq__',
         is_same,
     )
 
 
-def test_births_not_told_apart(case):
+def test_ignored_birth_number_is_caught(case):
     check(
         case,
         rebirth_test.test_lives_under_one_id_are_told_apart,
@@ -257,7 +260,7 @@
     )
 
 
-def test_orders_sent_to_whichever_life_is_there(case):
+def test_order_sent_to_any_life_is_caught(case):
     def order(self, way, life, path, body, seconds=line.CALL_SECONDS):
         self._reach(way)
         return way.order(path, body, seconds)
@@ -271,7 +274,7 @@
     )
 
 
-def test_lives_of_a_worker_sharing_a_token(case):
+def test_fencing_token_shared_by_lives_is_caught(case):
     check(
         case,
         rebirth_test.test_late_order_of_a_former_life_is_refused_by_the_next,
@@ -281,7 +284,7 @@
     )
 
 
-def test_unknown_outcomes_called_not_run(case):
+def test_unknown_outcome_reported_as_not_run_is_caught(case):
     check(
         case,
         clients_test.test_refusals_say_what_is_true,
@@ -291,7 +294,7 @@
     )
 
 
-def test_silent_runners_believed_dead(case):
+def test_silent_runner_taken_for_absent_is_caught(case):
     original = runner.RunnerWorker.read_listing
 
     def read(self):
@@ -309,7 +312,7 @@
     )
 
 
-def test_sides_not_told_what_they_hold(case):
+def test_side_without_its_held_tasks_is_caught(case):
     check(
         case,
         traits_test.test_restarted_side_paces_beside_servers_begun_before,
@@ -319,7 +322,7 @@
     )
 
 
-def test_shares_of_a_former_side_taken_for_full(case):
+def test_forgotten_share_of_a_previous_side_is_caught(case):
     check(
         case,
         traits_test.test_restarted_side_takes_back_a_pace_set_before,
@@ -329,7 +332,7 @@
     )
 
 
-def test_what_runs_dropped_with_the_oldest(case):
+def test_dropped_running_task_is_caught(case):
     check(
         case,
         pacing_test.test_server_is_known_however_many_tasks_began_after_it,
@@ -339,7 +342,7 @@
     )
 
 
-def test_what_fills_never_stands_still(case):
+def test_filling_task_that_is_never_paused_is_caught(case):
     check(
         case,
         pacing_test.test_what_fills_stands_still_beside_a_server_that_is_late,
--- a/packages/scheduler/portwharf/scheduler/jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/jobs_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Jobs keep their order, their attempts and their word."""
+"""Dependencies, attempts, states and placement of jobs."""
 
 from portwharf.core import data
 from portwharf.peers import messages
@@ -23,33 +23,33 @@
 
 
 def make_step(count=1, after=(), **fields):
-    """Return a step of a job."""
+    """Return a step of a job as ``data.Workload``."""
     values = {'count': count, 'after': list(after), 'resources': SIZE}
     values |= {'run_ms': 500, 'max_failures': 2}
     return data.Workload(**{**values, **fields})
 
 
 def make_job(*steps, **fields):
-    """Return a job with two steps, one after the other, or those given."""
+    """Return a job of some steps; by default of two, one after the other."""
     steps = list(steps) or [make_step(2), make_step(1, ['0'])]
     return data.Job(ID, 'plans', 1, b'spec', steps, 2000, **fields)
 
 
 def accept(*steps, **fields):
-    """Return a state that has accepted a job."""
+    """Return a shard state that has accepted a job."""
     made = state.ShardState()
     made.apply(events.JobAccepted(NOW, make_job(*steps, **fields)))
     return made
 
 
 def list_demanded(made, now_ms=NOW):
-    """Return the ids of the workloads that wait to be placed."""
+    """Return the ids of the workloads that have demand."""
     demands = planning.list_demands(made, lambda _: frozenset(), now_ms)
     return [demand.record.id for demand in demands]
 
 
 def run_task(made, task, attempt=1, ended=data.RunState.SUCCEEDED):
-    """Place an attempt and judge its end."""
+    """Place an attempt and process the report of its end."""
     made.apply(events.TaskPlaced(task, attempt, 'vm-1'))
     report = messages.TaskReport(task, attempt, ended)
     verdict = reconcile.Verdict()
@@ -93,21 +93,21 @@
     case.assertEqual(made.find_job_state(ID), data.JobState.RUNNING)
 
 
-def test_lasting_task_is_begun_again_however_it_ends(case):
+def test_standing_task_is_restarted_however_it_ends(case):
     made = accept(make_step(kind=data.Kind.STANDING))
     for attempt in (1, 2, 3, 4):
         run_task(made, f'{FIRST}.0', attempt, data.RunState.FAILED)
     case.assertEqual(list_demanded(made), [FIRST])
 
 
-def test_cancelled_job_wants_nothing_more(case):
+def test_cancelled_job_has_no_demand(case):
     made = accept()
     made.apply(events.JobCancelled(ID))
     case.assertEqual(list_demanded(made), [])
     case.assertEqual(made.find_job_state(ID), data.JobState.CANCELLED)
 
 
-def test_what_nobody_wants_is_stopped_when_it_is_not_listed(case):
+def test_unlisted_unwanted_task_is_stopped(case):
     made = accept()
     made.apply(events.TaskPlaced(f'{FIRST}.0', 1, 'vm-1'))
     task = made.tasks[f'{FIRST}.0']
@@ -118,7 +118,7 @@
     case.assertIsInstance(command, messages.StopTask)
 
 
-def test_times_become_due_one_by_one(case):
+def test_occurrences_become_due_one_by_one(case):
     made = accept(make_step(), times=2, first_ms=NOW + 10, interval_ms=50)
     case.assertEqual(list_demanded(made), [])
     case.assertEqual(list_demanded(made, NOW + 10), [f'{ID}.0.0'])
@@ -126,11 +126,11 @@
     case.assertEqual(list_demanded(made, NOW + 60), both)
 
 
-def test_steps_are_due_by_what_comes_after_them(case):
+def test_step_deadline_leaves_time_for_dependent_steps(case):
     made = accept()
-    looked = forecast.Forecast(made)
-    first = looked.look_at(made.workloads[FIRST])
-    second = looked.look_at(made.workloads[SECOND])
+    predicted = forecast.Forecast(made)
+    first = predicted.look_at(made.workloads[FIRST])
+    second = predicted.look_at(made.workloads[SECOND])
     case.assertEqual(first.begin_ms, NOW + 2000 - 1000)
     case.assertEqual(second.begin_ms, NOW + 2000 - 500)
 
@@ -138,11 +138,11 @@
 def test_state_survives_a_snapshot(case):
     made = accept()
     run_task(made, f'{FIRST}.0')
-    again = state.ShardState.unpack(made.pack())
-    case.assertEqual(again.find_job_state(ID), data.JobState.RUNNING)
-    case.assertEqual(list_demanded(again), [FIRST])
-    run_task(again, f'{FIRST}.1')
-    case.assertEqual(list_demanded(again), [SECOND])
+    restored = state.ShardState.unpack(made.pack())
+    case.assertEqual(restored.find_job_state(ID), data.JobState.RUNNING)
+    case.assertEqual(list_demanded(restored), [FIRST])
+    run_task(restored, f'{FIRST}.1')
+    case.assertEqual(list_demanded(restored), [SECOND])
 
 
 def test_second_submission_is_the_same_job(case):
@@ -153,7 +153,7 @@
     case.assertEqual((len(first.events), second.events), (1, []))
 
 
-def test_step_after_a_later_one_is_refused(case):
+def test_dependency_on_a_later_step_is_refused(case):
     problem = jobs.find_problem(make_job(make_step(after=['0'])))
     case.assertEqual(problem.field, 'steps.0.after')
     case.assertIn('earlier step', problem.text)
@@ -168,15 +168,15 @@
 
 
 def submit(made, *steps):
-    """Submit a job to a cluster and let it begin."""
+    """Submit a job to a cluster and let it start."""
     call = job_operations.JobSubmission(make_job(*steps))
     fut = made._call('submit-job', call)
     made.run(4)
     return fut
 
 
-def list_begun(made):
-    """Return the tasks that workers have begun, with their attempts."""
+def list_started(made):
+    """Return (task, attempt) of all starts on workers."""
     return [
         (run.attempt.task, run.attempt.attempt)
         for node in made.nodes
@@ -184,7 +184,7 @@
     ]
 
 
-def test_job_runs_through_a_loss_of_owner_and_outage(case):
+def test_job_completes_despite_owner_change_and_store_outage(case):
     made = cluster.Cluster()
     submit(made)
     made.standin.faults.down = True
@@ -197,8 +197,8 @@
     made.run(6)
     made.finish_running()
     made.run(4)
-    begun = [task for task, _ in list_begun(made)]
-    case.assertEqual(sorted(begun), sorted(set(begun)))
+    started = [task for task, _ in list_started(made)]
+    case.assertEqual(sorted(started), sorted(set(started)))
     case.assertEqual(made.read_state().find_job_state(ID), 'completed')
 
 
@@ -217,7 +217,7 @@
     case.assertIn(b'completed', node.owner.operate(query).body)
 
 
-def test_step_that_has_waited_goes_wherever_there_is_room(case):
+def test_step_that_waited_long_is_placed_on_any_vm(case):
     made = accept(make_step(fills=True, image='plan'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
     view.take_pairs(presses.Presses(), [messages.Headroom('desk', 0.0)])
@@ -232,7 +232,7 @@
     case.assertEqual(placed, [0, 0, 1])
 
 
-def test_rest_of_a_step_waits_longer_for_room_where_it_works(case):
+def test_rest_of_a_started_step_waits_longer_for_a_good_vm(case):
     made = accept(make_step(2, fills=True, image='plan'))
     made.apply(events.TaskPlaced(f'{FIRST}.0', 1, 'vm-2'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
--- a/packages/scheduler/portwharf/scheduler/operations_test.py
+++ b/packages/scheduler/portwharf/scheduler/operations_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Operators' calls change what they say and nothing else."""
+"""Operators' calls: submitting, changing, cancelling and reading."""
 
 from portwharf.core import data
 from portwharf.scheduler.decisions import placement
@@ -15,13 +15,13 @@
 
 
 def submit(made, key='', **fields):
-    """Submit a workload; returns the outcome."""
+    """Submit a workload; returns its Ok or Err."""
     submission = operations.Submission(key, fixtures.make_workload(**fields))
     return operations.submit(made, submission, VIEWS, 0, NOW_MS)
 
 
 def accept(made, **fields):
-    """Submit a workload that is accepted; returns its id."""
+    """Submit a valid workload; returns its id."""
     return submit(made, **fields).ok_value.answer.id
 
 
@@ -34,27 +34,27 @@
     case.assertEqual(second.events, [])
 
 
-def test_key_of_another_workload_is_a_conflict(case):
+def test_key_of_a_different_workload_is_a_conflict(case):
     made = state.ShardState()
     accept(made)
     outcome = submit(made, program='other')
     case.assertEqual(outcome.err_value.code, 'key-in-use')
 
 
-def test_operators_key_tells_submissions_apart(case):
+def test_operators_key_distinguishes_submissions(case):
     made = state.ShardState()
     first = submit(made, 'monday').ok_value.answer
     second = submit(made, 'tuesday').ok_value.answer
     case.assertNotEqual(first.id, second.id)
 
 
-def test_id_tells_its_shard(case):
+def test_workload_id_contains_its_shard(case):
     made = operations.make_workload_id(17)
     case.assertEqual(operations.read_shard(made), 17)
     case.assertIsNone(operations.read_shard('lens/plans'))
 
 
-def test_what_can_never_run_is_refused_and_remembered(case):
+def test_unplaceable_workload_is_refused_and_explained(case):
     made = state.ShardState()
     step = submit(made, resources=data.Resources(9000, 1)).ok_value
     case.assertEqual(step.answer.code, placement.REASON_NEVER)
@@ -64,7 +64,7 @@
     case.assertIn('4 processors', found.ok_value.decisions[0].advice)
 
 
-def test_cancel_counts_what_had_not_ended(case):
+def test_cancel_counts_tasks_that_had_not_ended(case):
     made = state.ShardState()
     job = accept(made, count=3)
     made.apply(events.TaskPlaced(f'{job}.0', 1, 'vm-00'))
@@ -81,7 +81,7 @@
     case.assertEqual((step.events, step.answer.tasks), ([], 0))
 
 
-def test_unknown_id_is_told(case):
+def test_unknown_id_is_an_error(case):
     made = state.ShardState()
     query = operations.Query('0-none')
     for outcome in (
@@ -117,7 +117,7 @@
     case.assertEqual([task.id for task in step.stop], [f'{job}.1', f'{job}.2'])
 
 
-def test_lists_go_by_kind_and_team(case):
+def test_list_is_filtered_by_kind_and_team(case):
     made = state.ShardState()
     accept(made)
     accept(made, name='fit', kind=data.Kind.SERVICE)
@@ -132,7 +132,7 @@
         case.assertEqual(len(listed.workloads), count)
 
 
-def test_explain_says_why_a_job_waits_now(case):
+def test_explain_includes_why_a_job_waits(case):
     made = state.ShardState()
     job = accept(made)
     reason = placement.Waiting(made.workloads[job], placement.REASON_QUOTA)
--- a/packages/scheduler/portwharf/scheduler/pairing_test.py
+++ b/packages/scheduler/portwharf/scheduler/pairing_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Sides are told of pairs when there is news, and not more often."""
+"""Sides get an update of pairs after changes, at a limited rate."""
 
 from portwharf.peers import messages
 from portwharf.scheduler import pairing
@@ -8,18 +8,18 @@
 PRESS = messages.Press('desk', 'plan', 8.0, 0.5)
 
 
-def test_nothing_is_told_without_news(case):
+def test_no_update_without_changes(case):
     case.assertIsNone(pairing.Pairing().take_news(1.0))
 
 
-def test_news_is_told_once(case):
+def test_change_is_sent_once(case):
     made = pairing.Pairing()
     made.adopt([PRESS])
     case.assertEqual(made.take_news(1.0), messages.PressUpdate([PRESS]))
     case.assertIsNone(made.take_news(9.0))
 
 
-def test_news_waits_for_the_next_time(case):
+def test_change_waits_for_the_next_interval(case):
     made = pairing.Pairing()
     made.adopt([PRESS])
     made.take_news(1.0)
--- a/packages/scheduler/portwharf/scheduler/policy_test.py
+++ b/packages/scheduler/portwharf/scheduler/policy_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Steps that a policy governs begin only where it gave a ticket."""
+"""Steps with a policy start only on workers that have a ticket."""
 
 import result
 
@@ -21,15 +21,15 @@
 
 
 class FakePolicy(policy.Policy):
-    """Allows some lives; counts the questions."""
+    """Allows some lives and records the queries."""
 
     def __init__(self, allowed):
         self.allowed = allowed
-        self.asked = []
+        self.queries = []
         self.down = False
 
     def ask(self, step, lives):
-        self.asked.append(list(lives))
+        self.queries.append(list(lives))
         if self.down:
             return result.Err('no answer')
         return result.Ok(
@@ -42,20 +42,20 @@
 
 
 def open_advisor(*allowed):
-    """Return an advisor that is stepped by hand, its policy and clock."""
-    asked = FakePolicy(allowed)
+    """Return an advisor without a thread, its policy and its clock."""
+    service = FakePolicy(allowed)
     now = clock.ManualClock()
-    return policy.Advisor(asked, now, lambda: None), asked, now
+    return policy.Advisor(service, now, lambda: None), service, now
 
 
 def make_demand(count=2):
-    """Return the demand of a step that a policy governs."""
+    """Return the demand of a step with a policy."""
     step = jobs_test.make_step(count, ticket_ms=VALID_MS)
     return backlog.Demand(jobs_test.accept(step).workloads[STEP])
 
 
 def make_views():
-    """Return two views with room, of workers that are known by life."""
+    """Return two views with room, whose workers have a life id."""
     views = gangs_test.make_views(4, 4)
     for number, view in enumerate(views):
         view.life = data.LifeId(f'i-{number}', 1)
@@ -63,12 +63,12 @@
 
 
 def place(demand, views):
-    """Make one pass."""
+    """Run one placement pass."""
     quotas = backlog.Quotas({}, {})
     return placement.place_demands([demand], views, quotas, jobs_test.NOW)
 
 
-def test_step_waits_for_the_policy_and_brings_its_ticket(case):
+def test_step_waits_for_the_policy_and_carries_its_ticket(case):
     advisor, _, _ = open_advisor(SECOND)
     demand, views = make_demand(), make_views()
     policy.assign_tickets(advisor, [demand], views)
@@ -83,57 +83,57 @@
 
 
 def test_refused_workers_are_asked_about_once(case):
-    advisor, asked, _ = open_advisor(SECOND)
+    advisor, service, _ = open_advisor(SECOND)
     for _ in range(3):
         advisor.request(STEP, [FIRST, SECOND], VALID_MS)
         advisor.ask_next()
-    case.assertEqual(asked.asked, [[FIRST, SECOND]])
+    case.assertEqual(service.queries, [[FIRST, SECOND]])
 
 
-def test_ticket_ends_before_its_time_and_is_asked_for_again(case):
-    advisor, asked, now = open_advisor(SECOND)
+def test_ticket_is_requested_again_before_it_expires(case):
+    advisor, service, now = open_advisor(SECOND)
     advisor.request(STEP, [FIRST, SECOND], VALID_MS)
     advisor.ask_next()
     now.advance(0.95)
     case.assertEqual(advisor.find_ticket(STEP, SECOND), '')
     advisor.request(STEP, [FIRST, SECOND], VALID_MS)
     advisor.ask_next()
-    case.assertEqual(asked.asked[-1], [SECOND])
+    case.assertEqual(service.queries[-1], [SECOND])
     case.assertEqual(advisor.find_ticket(STEP, SECOND), 't-i-1')
 
 
-def test_new_life_of_a_worker_needs_a_ticket_of_its_own(case):
+def test_new_life_of_a_worker_needs_a_new_ticket(case):
     advisor, _, _ = open_advisor(SECOND)
     advisor.request(STEP, [SECOND], VALID_MS)
     advisor.ask_next()
-    reborn = data.LifeId(SECOND.instance, 2)
-    for life in (data.LifeId('i-2', 1), reborn):
+    restarted = data.LifeId(SECOND.instance, 2)
+    for life in (data.LifeId('i-2', 1), restarted):
         case.assertEqual(advisor.find_ticket(STEP, life), '')
 
 
-def test_question_without_an_answer_is_asked_again(case):
-    advisor, asked, _ = open_advisor(SECOND)
-    asked.down = True
+def test_query_without_an_answer_is_repeated(case):
+    advisor, service, _ = open_advisor(SECOND)
+    service.down = True
     advisor.request(STEP, [SECOND], VALID_MS)
     case.assertFalse(advisor.ask_next())
-    asked.down = False
+    service.down = False
     case.assertTrue(advisor.ask_next())
     case.assertEqual(advisor.find_ticket(STEP, SECOND), 't-i-1')
 
 
-def test_more_workers_than_one_question_takes_come_in_turn(case):
-    advisor, asked, _ = open_advisor()
+def test_many_workers_are_split_into_several_queries(case):
+    advisor, service, _ = open_advisor()
     lives = [data.LifeId(f'i-{number}') for number in range(40)]
     for _ in range(2):
         advisor.request(STEP, lives, VALID_MS)
         advisor.ask_next()
-    case.assertEqual([len(one) for one in asked.asked], [30, 10])
+    case.assertEqual([len(one) for one in service.queries], [30, 10])
 
 
 def test_starts_without_a_ticket_are_caught(case):
     faults_test.check(
         case,
-        test_step_waits_for_the_policy_and_brings_its_ticket,
+        test_step_waits_for_the_policy_and_carries_its_ticket,
         choosing,
         '_refuse_step',
         lambda demand, view: '',
--- a/packages/scheduler/portwharf/scheduler/preparing_test.py
+++ b/packages/scheduler/portwharf/scheduler/preparing_test.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What is committed ahead begins in an outage, once, and is not lost."""
+"""Prepared tasks start during an outage, once, and are not lost."""
 
 from portwharf.peers import messages
 from portwharf.scheduler import ownership_test
 
 
-def test_prepared_work_goes_on_through_an_outage(case):
+def test_prepared_tasks_start_during_an_outage(case):
     made = ownership_test.make_cluster(10)
     case.assertEqual(ownership_test.count_runs(made), 6)
     made.standin.faults.down = True
@@ -18,7 +18,7 @@
     case.assertEqual(ownership_test.count_runs(made), 10)
 
 
-def test_prepared_work_begun_in_an_outage_survives_its_owner(case):
+def test_prepared_task_started_in_an_outage_survives_its_owner(case):
     made = ownership_test.make_cluster(10)
     made.standin.faults.down = True
     made.run(3)
@@ -32,7 +32,7 @@
     case.assertEqual(ownership_test.count_runs(made), 10)
 
 
-def test_prepared_work_is_kept_until_its_side_has_told(case):
+def test_prepared_task_is_kept_until_its_side_has_reported(case):
     made = ownership_test.make_cluster(10)
     made.standin.faults.down = True
     made.run(3)
@@ -42,7 +42,7 @@
     made.standin.faults.down = False
     made.run(3)
     made.nodes[1].claim()
-    # The first pass of the new owner comes before any side has told.
+    # The new owner's first pass runs before any side has reported.
     made.time.advance(1.5)
     made.nodes[1].owner.step()
     prepared = made.read_state().prepared
@@ -51,7 +51,7 @@
     case.assertEqual(ownership_test.count_runs(made), 10)
 
 
-def test_prepared_work_of_a_silent_vm_waits_like_the_rest(case):
+def test_prepared_task_of_a_silent_vm_is_not_started_elsewhere(case):
     made = ownership_test.make_cluster(10)
     silent = made.nodes[2]
     prepared = set(made.read_state().prepared[silent.vm.name])
@@ -67,12 +67,13 @@
     ownership_test.finish(made)
 
 
-def test_prepared_start_that_was_lost_is_made_up_for(case):
-    """A start sent while the store was down counts as made, wherever it went.
+def test_lost_start_of_a_prepared_task_is_repeated(case):
+    """A start that was lost during an outage of the store is sent again.
 
-    Order of events: an append is stalled, tasks of a VM end, and the owner
-    begins a prepared one there; the connection ends with that order. The
-    next report does not list the attempt, but nobody looks for it there.
+    Sequence: an append is stalled, tasks of a VM end, and the owner starts a
+    prepared one there. The connection fails and the command is lost. The next
+    report does not list the attempt; the owner has to notice that although
+    the log holds the task only as prepared.
     """
     made = ownership_test.make_cluster(10)
     made.standin.faults.down = True
--- a/packages/scheduler/portwharf/scheduler/reconcile_test.py
+++ b/packages/scheduler/portwharf/scheduler/reconcile_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Reports change the log only when they are about what it holds."""
+"""Only reports about the current attempt change the log."""
 
 from portwharf.core import data
 from portwharf.peers import messages
@@ -24,42 +24,42 @@
     return made
 
 
-def judge(made, run_state, attempt=1, vm='vm-1', **fields):
-    """Judge one report."""
+def process(made, run_state, attempt=1, vm='vm-1', **fields):
+    """Process one report; returns the verdict."""
     report = messages.TaskReport(TASK, attempt, run_state, **fields)
     verdict = reconcile.Verdict()
     reconcile.judge_report(made, vm, report, verdict)
     return verdict
 
 
-def test_success_ends_the_task_and_frees_the_side(case):
+def test_success_ends_the_task_and_the_side_may_forget_it(case):
     made = make_state()
-    verdict = judge(made, SUCCEEDED, result=b'42')
+    verdict = process(made, SUCCEEDED, result=b'42')
     case.assertEqual(made.tasks[TASK].state, data.TaskState.SUCCEEDED)
     case.assertEqual(made.tasks[TASK].result, b'42')
     case.assertEqual(verdict.forget, [messages.TaskRef(TASK, 1)])
 
 
-def test_report_twice_changes_nothing_more(case):
+def test_duplicate_report_changes_nothing(case):
     made = make_state()
-    judge(made, SUCCEEDED, result=b'42')
-    verdict = judge(made, SUCCEEDED, result=b'43')
+    process(made, SUCCEEDED, result=b'42')
+    verdict = process(made, SUCCEEDED, result=b'43')
     case.assertEqual((verdict.events, len(verdict.forget)), ([], 1))
     case.assertEqual(made.tasks[TASK].result, b'42')
 
 
 def test_running_task_needs_nothing(case):
-    case.assertEqual(judge(make_state(), RUNNING), reconcile.Verdict())
+    case.assertEqual(process(make_state(), RUNNING), reconcile.Verdict())
 
 
-def test_former_attempt_that_still_runs_is_stopped(case):
-    verdict = judge(make_state(attempt=2), RUNNING, attempt=1)
+def test_running_previous_attempt_is_stopped(case):
+    verdict = process(make_state(attempt=2), RUNNING, attempt=1)
     case.assertEqual(verdict.events, [])
     case.assertEqual(verdict.commands[0].attempt, 1)
 
 
 def test_attempt_on_another_vm_is_stopped(case):
-    verdict = judge(make_state(), RUNNING, vm='vm-2')
+    verdict = process(make_state(), RUNNING, vm='vm-2')
     case.assertIsInstance(verdict.commands[0], messages.StopTask)
 
 
@@ -67,7 +67,7 @@
     made = make_state()
     made.apply(events.TaskRequeued(TASK, 1))
     made.apply(events.TaskPlaced(TASK, 2, 'vm-2'))
-    verdict = judge(made, SUCCEEDED, result=b'42')
+    verdict = process(made, SUCCEEDED, result=b'42')
     case.assertEqual((verdict.events, len(verdict.forget)), ([], 1))
     case.assertEqual(made.tasks[TASK].state, data.TaskState.PLACED)
 
@@ -75,14 +75,14 @@
 def test_late_success_before_the_next_attempt_counts(case):
     made = make_state()
     made.apply(events.TaskRequeued(TASK, 1))
-    judge(made, SUCCEEDED, result=b'42')
+    process(made, SUCCEEDED, result=b'42')
     case.assertEqual(made.tasks[TASK].state, data.TaskState.SUCCEEDED)
 
 
 def test_checkpoint_queues_the_task_again(case):
     made = make_state()
     made.apply(events.TaskEvicting(TASK, 1))
-    judge(made, data.RunState.CHECKPOINTED, checkpoint='step-7')
+    process(made, data.RunState.CHECKPOINTED, checkpoint='step-7')
     record = made.tasks[TASK]
     case.assertEqual(record.state, data.TaskState.WAITING)
     case.assertEqual((record.checkpoint, record.evictions), ('step-7', 1))
@@ -91,58 +91,58 @@
 def test_evicting_task_is_told_to_stop_again(case):
     made = make_state()
     made.apply(events.TaskEvicting(TASK, 1))
-    verdict = judge(made, RUNNING)
+    verdict = process(made, RUNNING)
     case.assertTrue(verdict.commands[0].checkpoint)
 
 
 def test_cancelled_task_is_told_to_stop_again(case):
     made = make_state()
     made.apply(events.WorkloadCancelled(JOB))
-    verdict = judge(made, RUNNING)
+    verdict = process(made, RUNNING)
     case.assertFalse(verdict.commands[0].checkpoint)
 
 
-def test_finish_wins_over_cancelling_if_it_comes_first(case):
+def test_success_after_cancelling_keeps_its_result(case):
     made = make_state()
     made.apply(events.WorkloadCancelled(JOB))
-    judge(made, SUCCEEDED, result=b'42')
+    process(made, SUCCEEDED, result=b'42')
     case.assertEqual(made.tasks[TASK].result, b'42')
 
 
-def test_stopped_task_of_a_cancelled_job_is_over(case):
+def test_stopped_task_of_a_cancelled_job_is_cancelled(case):
     made = make_state()
     made.apply(events.WorkloadCancelled(JOB))
-    judge(made, data.RunState.GONE)
+    process(made, data.RunState.GONE)
     case.assertEqual(made.tasks[TASK].state, data.TaskState.CANCELLED)
 
 
 def test_refused_start_is_queued_again(case):
     made = make_state()
-    judge(made, data.RunState.REFUSED, reason='no-room-on-the-vm')
+    process(made, data.RunState.REFUSED, reason='no-room-on-the-vm')
     case.assertEqual(made.tasks[TASK].state, data.TaskState.WAITING)
 
 
-def test_task_fails_after_some_failures(case):
+def test_task_fails_after_max_failures(case):
     made = make_state()
     for attempt in range(1, reconcile.MAX_FAILURES):
-        judge(made, data.RunState.FAILED, attempt)
+        process(made, data.RunState.FAILED, attempt)
         case.assertEqual(made.tasks[TASK].state, data.TaskState.WAITING)
         made.apply(events.TaskPlaced(TASK, attempt + 1, 'vm-1'))
-    judge(made, data.RunState.FAILED, reconcile.MAX_FAILURES)
+    process(made, data.RunState.FAILED, reconcile.MAX_FAILURES)
     case.assertEqual(made.tasks[TASK].state, data.TaskState.FAILED)
 
 
-def test_standing_task_that_ends_is_run_again(case):
+def test_standing_task_that_ends_is_requeued(case):
     for run_state in (SUCCEEDED, data.RunState.FAILED):
         made = make_state(kind=data.Kind.STANDING)
-        judge(made, run_state)
+        process(made, run_state)
         case.assertEqual(made.tasks[TASK].state, data.TaskState.WAITING)
 
 
 def test_unknown_task_is_stopped_or_forgotten(case):
     made = state.ShardState()
-    case.assertEqual(len(judge(made, RUNNING).commands), 1)
-    case.assertEqual(len(judge(made, SUCCEEDED).forget), 1)
+    case.assertEqual(len(process(made, RUNNING).commands), 1)
+    case.assertEqual(len(process(made, SUCCEEDED).forget), 1)
 
 
 def test_task_that_a_side_does_not_know_is_missing(case):
--- a/packages/scheduler/portwharf/scheduler/rooms_test.py
+++ b/packages/scheduler/portwharf/scheduler/rooms_test.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Rooms of workers that shrink and grow under what runs there.
+"""Workers whose capacity shrinks and grows while tasks run there.
 
-The workers here guard nothing: a start that brings one over its room, later
-than it may still be taken for larger, is a violation.
+These workers accept every start. A start that exceeds the capacity is a
+violation, except shortly after a shrink that the side cannot know of yet.
 """
 
 import result
@@ -24,12 +24,12 @@
 
 
 def resize(made, cpu_milli, nodes=None):
-    """Have all workers, or those of some nodes, shrink or grow."""
+    """Set the processors of all workers, or of those of some nodes."""
     for node in nodes or made.nodes:
         node.worker.resize(cpu_milli)
 
 
-def test_what_runs_goes_on_when_its_room_shrinks(case):
+def test_running_tasks_continue_when_capacity_shrinks(case):
     made = ownership_test.make_cluster(count=6)
     before = ownership_test.count_runs(made)
     resize(made, 500)
@@ -38,7 +38,7 @@
     case.assertEqual(ownership_test.count_runs(made), before)
 
 
-def test_nothing_is_begun_over_a_room_that_has_shrunk(case):
+def test_no_start_exceeds_a_shrunk_capacity(case):
     made = cluster.Cluster(3)
     made.run(4)
     resize(made, 1000)
@@ -48,7 +48,7 @@
     case.assertEqual(count_running(made), [1, 1, 1])
 
 
-def test_room_of_what_ends_is_not_used_again_after_a_shrink(case):
+def test_capacity_freed_after_a_shrink_is_not_reused(case):
     made = ownership_test.make_cluster(count=6)
     made.submit(6)
     resize(made, 1000)
@@ -58,7 +58,7 @@
     case.assertEqual(count_running(made), [1, 1, 1])
 
 
-def test_new_owner_and_new_sides_begin_with_the_smaller_room(case):
+def test_new_owner_and_sides_use_the_shrunk_capacity(case):
     made = cluster.Cluster(3)
     made.run(4)
     resize(made, 1000)
@@ -72,7 +72,7 @@
     case.assertEqual(count_running(made), [1, 1, 1])
 
 
-def test_room_that_has_grown_is_used(case):
+def test_grown_capacity_is_used(case):
     made = cluster.Cluster(3)
     resize(made, 1000)
     made.submit(6)
@@ -84,12 +84,12 @@
 
 
 def test_start_without_an_answer_takes_its_room(case):
-    """It may have begun, or begin later: nothing goes in its place."""
+    """The task may run or start later, so its room stays reserved."""
     made = cluster.Cluster(1)
     made.run(4)
     (node,) = made.nodes
     worker = node.worker
-    begin, stop = worker.start, worker.stop
+    original_start, original_stop = worker.start, worker.stop
     sent = []
 
     def lose(start):
@@ -104,29 +104,29 @@
     made.run(4)
     made.submit(1)
     made.run(1, step=0.25)
-    worker.start = begin
+    worker.start = original_start
     case.assertTrue(sent)
     made.submit(2)
     made.run(1, step=0.25)
-    # Now the worker carries out what it has left unanswered.
-    begin(sent[0])
+    # The worker executes the start that it has not answered.
+    original_start(sent[0])
     made.run(2)
-    worker.stop = stop
+    worker.stop = original_stop
     made.settle()
     made.check_end()
 
 
-def test_what_has_fitted_before_is_not_called_impossible(case):
+def test_workload_that_fitted_before_is_not_refused(case):
     view = vmview.VmView(fixtures.make_vm(1), data.Resources(1000, 1000))
     view.largest = data.Resources(4000, 4000)
-    waits = fixtures.make_workload(resources=data.Resources(3000, 3000))
-    never = fixtures.make_workload(resources=data.Resources(5000, 1000))
-    case.assertIsNone(placement.check_placeable(waits, [view]))
-    problem = placement.check_placeable(never, [view])
+    fits_largest = fixtures.make_workload(resources=data.Resources(3000, 3000))
+    too_large = fixtures.make_workload(resources=data.Resources(5000, 1000))
+    case.assertIsNone(placement.check_placeable(fits_largest, [view]))
+    problem = placement.check_placeable(too_large, [view])
     case.assertEqual(problem.code, placement.REASON_NEVER)
 
 
-def test_largest_room_that_a_vm_has_shown_is_remembered(case):
+def test_largest_capacity_of_a_vm_is_remembered(case):
     made = cluster.Cluster(1)
     made.run(4)
     resize(made, 1000)
--- a/packages/scheduler/portwharf/scheduler/snapshots_test.py
+++ b/packages/scheduler/portwharf/scheduler/snapshots_test.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What every side reads of the log stays small, however much has been done.
+"""Snapshots stay small, however many jobs have ended.
 
-After a loss of all power all sides read it at the same moment, and nobody
-may decide before more than half of them have.
+After a power failure all sides read the snapshot at the same time, and no
+owner may decide before a majority of them has.
 """
 
 from portwharf.core import data
@@ -11,13 +11,13 @@
 from portwharf.scheduler import events
 from portwharf.scheduler import state
 
-# A snapshot's share of a job that is over, its text of 300 bytes included.
-MOST_BYTES_A_JOB = 900
+# Includes the job's argument of 300 bytes.
+MAX_BYTES_PER_ENDED_JOB = 900
 TASKS = 18
 
 
 def add_job(made, number, **ending):
-    """Have a job of two steps accepted and its tasks placed.
+    """Accept a job of two steps and place its tasks.
 
     :returns: the job's id, and those of its tasks
     """
@@ -36,21 +36,21 @@
     return name, tasks
 
 
-def end_all(made, tasks, state_then=data.TaskState.SUCCEEDED):
-    """Have tasks come to their end."""
+def end_all(made, tasks, end_state=data.TaskState.SUCCEEDED):
+    """End tasks with a state."""
     for task in tasks:
-        made.apply(events.TaskEnded(task, 1, state_then))
+        made.apply(events.TaskEnded(task, 1, end_state))
 
 
-def test_job_that_is_over_costs_no_task(case):
+def test_snapshot_has_no_tasks_of_ended_jobs(case):
     made = state.ShardState()
     for number in range(200):
         _, tasks = add_job(made, number)
         end_all(made, tasks)
-    case.assertLess(len(made.pack()), 200 * MOST_BYTES_A_JOB)
+    case.assertLess(len(made.pack()), 200 * MAX_BYTES_PER_ENDED_JOB)
 
 
-def test_job_that_is_over_is_still_known(case):
+def test_ended_job_is_restored_from_a_snapshot(case):
     made = state.ShardState()
     done, tasks = add_job(made, 1)
     end_all(made, tasks)
@@ -58,29 +58,29 @@
     end_all(made, tasks[:1], data.TaskState.FAILED)
     made.apply(events.JobCancelled(failed))
     end_all(made, tasks[1:], data.TaskState.CANCELLED)
-    again = state.ShardState.unpack(made.pack())
-    case.assertEqual(again.tasks, {})
-    case.assertEqual(again.find_job_state(done), data.JobState.COMPLETED)
-    case.assertEqual(again.find_job_state(failed), data.JobState.FAILED)
-    case.assertEqual(again.list_unended(), [])
-    looked = forecast.Forecast(again)
-    for name in again.jobs[done].steps:
-        case.assertEqual(looked.look_at(again.workloads[name]).left, 0)
+    restored = state.ShardState.unpack(made.pack())
+    case.assertEqual(restored.tasks, {})
+    case.assertEqual(restored.find_job_state(done), data.JobState.COMPLETED)
+    case.assertEqual(restored.find_job_state(failed), data.JobState.FAILED)
+    case.assertEqual(restored.list_unended(), [])
+    predicted = forecast.Forecast(restored)
+    for name in restored.jobs[done].steps:
+        case.assertEqual(predicted.look_at(restored.workloads[name]).left, 0)
     for name in (done, failed):
         made.apply(events.JobDropped(name))
-        again.apply(events.JobDropped(name))
-    case.assertEqual(again.workloads, {})
+        restored.apply(events.JobDropped(name))
+    case.assertEqual(restored.workloads, {})
 
 
-def test_job_that_is_not_over_comes_back_with_all_its_tasks(case):
-    """Also one that is cancelled while some of its tasks are stopped."""
+def test_running_job_is_restored_with_all_its_tasks(case):
+    """So is a cancelled job of which a task still runs."""
     made = state.ShardState()
-    open_job, tasks = add_job(made, 1)
+    running, tasks = add_job(made, 1)
     end_all(made, tasks[:9])
-    stopped, others = add_job(made, 2)
-    made.apply(events.JobCancelled(stopped))
+    cancelled, others = add_job(made, 2)
+    made.apply(events.JobCancelled(cancelled))
     end_all(made, others[1:], data.TaskState.CANCELLED)
-    again = state.ShardState.unpack(made.pack())
-    case.assertEqual(sorted(again.tasks), sorted(tasks + others))
-    case.assertEqual(len(again.held['vm-1']), 10)
-    case.assertEqual(again.find_job_state(open_job), data.JobState.RUNNING)
+    restored = state.ShardState.unpack(made.pack())
+    case.assertEqual(sorted(restored.tasks), sorted(tasks + others))
+    case.assertEqual(len(restored.held['vm-1']), 10)
+    case.assertEqual(restored.find_job_state(running), data.JobState.RUNNING)
--- a/packages/scheduler/portwharf/scheduler/state_test.py
+++ b/packages/scheduler/portwharf/scheduler/state_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The state follows the log, and comes back whole from a snapshot."""
+"""Applying events to the state, and restoring it from a snapshot."""
 
 from portwharf.core import data
 from portwharf.scheduler import events
@@ -28,7 +28,7 @@
 
 
 def count(made):
-    """Return the job's counts of states, without zeros."""
+    """Return the number of tasks in each state, without zeros."""
     counts = made.count_states(made.workloads[JOB])
     return {str(name): number for name, number in counts.items() if number}
 
@@ -41,7 +41,7 @@
     case.assertEqual(made.reserved['vm-1'], SIZE)
 
 
-def test_ended_task_frees_its_room_and_keeps_its_result(case):
+def test_ended_task_frees_resources_and_keeps_its_result(case):
     made = make_state()
     task = place(made, 0)
     made.apply(events.TaskEnded(task, 1, data.TaskState.SUCCEEDED, b'42'))
@@ -68,7 +68,7 @@
     case.assertEqual(made.tasks[task].checkpoint, 'step-7')
 
 
-def test_placing_a_placed_task_breaks_an_invariant(case):
+def test_placing_a_placed_task_is_an_error(case):
     made = make_state()
     place(made, 0)
     with case.assertRaises(RuntimeError):
@@ -96,7 +96,7 @@
     case.assertEqual(made.workloads[JOB].workload.importance, 7)
 
 
-def test_dropped_job_leaves_nothing(case):
+def test_dropped_workload_is_removed_completely(case):
     made = make_state(1)
     task = place(made, 0)
     made.apply(events.TaskEnded(task, 1, data.TaskState.SUCCEEDED))
@@ -105,24 +105,24 @@
     case.assertIsNone(made.find_by_key('lens/plans'))
 
 
-def test_snapshot_comes_back_the_same(case):
+def test_snapshot_restores_the_same_state(case):
     made = make_state()
     made.apply(events.OwnerChanged(4, 'vm-2', [fixtures.make_vm(2)]))
     task = place(made, 0)
     place(made, 1)
     made.apply(events.TaskEnded(task, 1, data.TaskState.SUCCEEDED, b'42'))
     made.apply(events.DecisionMade(events.Decision(1, 'placed', task)))
-    again = state.ShardState.unpack(made.pack())
-    again.load_history(made.pack_history())
-    case.assertEqual(again.pack(), made.pack())
-    case.assertEqual(again.pack_history(), made.pack_history())
-    case.assertEqual(len(again.history.find(JOB)), 1)
-    case.assertEqual(again.reserved['vm-1'], SIZE)
-    case.assertEqual(again.epoch, 4)
-    case.assertEqual(again.find_by_key('lens/plans').id, JOB)
+    restored = state.ShardState.unpack(made.pack())
+    restored.load_history(made.pack_history())
+    case.assertEqual(restored.pack(), made.pack())
+    case.assertEqual(restored.pack_history(), made.pack_history())
+    case.assertEqual(len(restored.history.find(JOB)), 1)
+    case.assertEqual(restored.reserved['vm-1'], SIZE)
+    case.assertEqual(restored.epoch, 4)
+    case.assertEqual(restored.find_by_key('lens/plans').id, JOB)
 
 
-def test_events_survive_writing(case):
+def test_written_events_can_be_read(case):
     rows = events.write_events([events.TaskPlaced('0-job.1', 2, 'vm-1')])
     rows.append(['of-a-later-version', {'x': 1}])
     case.assertEqual(
@@ -130,7 +130,7 @@
     )
 
 
-def test_history_stays_in_its_budget(case):
+def test_history_stays_within_its_limit(case):
     past = history.History(max_bytes=10_000)
     for number in range(1000):
         past.add(events.Decision(number, 'placed', f'0-job.{number}'))
@@ -139,7 +139,7 @@
     case.assertLess(len(kept), 100)
 
 
-def test_history_finds_a_workloads_tasks_alone(case):
+def test_history_finds_only_a_workloads_own_tasks(case):
     past = history.History()
     for subject in (JOB, f'{JOB}.1', f'{JOB}x', f'{JOB}x.1'):
         past.add(events.Decision(1, 'placed', subject))
@@ -147,8 +147,8 @@
     case.assertEqual(found, [JOB, f'{JOB}.1'])
 
 
-def test_no_task_that_is_over_is_a_suspect(case):
-    """Nor is it one in a state that is read back from a snapshot."""
+def test_ended_task_is_no_suspect(case):
+    """Nor is it one in a state that is restored from a snapshot."""
     made = make_state(4)
     for number in range(4):
         task = place(made, number)
@@ -161,7 +161,7 @@
     case.assertEqual(len(made.suspects), 3)
     made.apply(events.WorkloadCancelled(JOB))
     case.assertEqual(list(made.suspects), [running])
-    again = events.TaskRequeued(running, 2, crash='vm-1/a@2', ran_ms=10)
-    made.apply(again)
-    read = state.ShardState.unpack(made.pack())
-    case.assertEqual((made.suspects, read.suspects), ({}, {}))
+    lost_again = events.TaskRequeued(running, 2, crash='vm-1/a@2', ran_ms=10)
+    made.apply(lost_again)
+    restored = state.ShardState.unpack(made.pack())
+    case.assertEqual((made.suspects, restored.suspects), ({}, {}))
--- a/packages/scheduler/portwharf/scheduler/steps_test.py
+++ b/packages/scheduler/portwharf/scheduler/steps_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Where a step may run and what it pushes out; each rule taken out once."""
+"""Placement constraints and preemption of steps, with mutation checks."""
 
 from portwharf.core import data
 from portwharf.scheduler import configuration
@@ -23,7 +23,7 @@
 
 
 def place(views, count=4, **fields):
-    """Place a step's tasks; returns the VMs that they went to."""
+    """Place a step's tasks; returns the names of their VMs."""
     made = jobs_test.accept(jobs_test.make_step(count, **fields))
     demand = backlog.Demand(made.workloads[jobs_test.FIRST])
     quotas = backlog.Quotas({}, {})
@@ -31,7 +31,7 @@
     return [one.vm for one in done.placements]
 
 
-def test_step_runs_in_its_pool_and_under_its_label_only(case):
+def test_step_runs_only_in_its_pool_and_under_its_label(case):
     views = gangs_test.make_views(4, 4, 4)
     views[0].pool, views[1].pool, views[2].pool = 'desk', 'other', 'desk'
     views[0].labels = ['a', 'r1']
@@ -39,15 +39,15 @@
     case.assertEqual(set(placed), {'vm-0'})
 
 
-def test_vm_holds_only_so_many_tasks_of_a_step(case):
+def test_tasks_of_a_step_per_vm_are_limited(case):
     placed = place(gangs_test.make_views(8, 8), most_per_vm=1)
     case.assertEqual(sorted(placed), ['vm-0', 'vm-1'])
 
 
-def test_lasting_work_gives_way_to_nothing(case):
+def test_standing_task_is_never_preempted(case):
     made = cluster.Cluster(1)
-    lasting = jobs_test.make_step(2, kind=data.Kind.STANDING)
-    job = jobs_test.make_job(lasting)
+    standing = jobs_test.make_step(2, kind=data.Kind.STANDING)
+    job = jobs_test.make_job(standing)
     job.rank = 4
     made.submit_job(job)
     made.run(4)
@@ -57,27 +57,27 @@
     case.assertEqual(len(running), 2)
 
 
-def test_other_pools_are_caught(case):
+def test_placement_in_another_pool_is_caught(case):
     check(
         case,
-        test_step_runs_in_its_pool_and_under_its_label_only,
+        test_step_runs_only_in_its_pool_and_under_its_label,
         vmview.VmView,
         'suits',
         lambda self, workload: True,
     )
 
 
-def test_too_many_on_one_vm_are_caught(case):
+def test_too_many_tasks_of_a_step_on_one_vm_are_caught(case):
     check(
         case,
-        test_vm_holds_only_so_many_tasks_of_a_step,
+        test_tasks_of_a_step_per_vm_are_limited,
         choosing,
         '_refuse_step',
         lambda demand, view: '',
     )
 
 
-def test_lasting_work_pushed_out_is_caught(case):
+def test_preempted_standing_task_is_caught(case):
     original = pressure.Pressure.list_neighbours
 
     def list_all(self, vm, now):
@@ -88,14 +88,14 @@
 
     check(
         case,
-        test_lasting_work_gives_way_to_nothing,
+        test_standing_task_is_never_preempted,
         pressure.Pressure,
         'list_neighbours',
         list_all,
     )
 
 
-def test_more_than_a_vm_holds_is_caught(case):
+def test_start_beyond_a_vms_capacity_is_caught(case):
     check(
         case,
         agent_test.test_vm_is_never_given_more_than_it_holds,
@@ -105,7 +105,7 @@
     )
 
 
-def test_configuration_that_goes_back_is_caught(case):
+def test_older_configuration_revision_is_caught(case):
     original = configuration.ConfigKeeper.offer
 
     def offer(self, revision, text):
@@ -121,7 +121,7 @@
     )
 
 
-def test_token_of_a_former_life_is_caught(case):
+def test_token_of_a_previous_life_is_caught(case):
     original = register.Registration.look
 
     def look(self):
--- a/packages/scheduler/portwharf/scheduler/suspects_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspects_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What is enough to give up a task under which workers crashed."""
+"""When a task whose workers crash is held back, tried and given up."""
 
 from portwharf.core import data
 from portwharf.scheduler.decisions import backlog
@@ -20,8 +20,8 @@
 PLACE = suspects.Verdict.PLACE
 
 
-class Docket:
-    """A state with two jobs of a task each, and the crashes told of."""
+class Scenario:
+    """A state with two jobs of one task each, and the observed crashes."""
 
     def __init__(self):
         self.state = jobs_test.accept(jobs_test.make_step())
@@ -32,7 +32,7 @@
         self.attempt = 0
 
     def crash(self, at, vm='vm-1', ran_ms=20, tasks=(TASK,)):
-        """Have a VM's worker crash under some tasks, or under none."""
+        """Record the crash of a worker that ran some tasks, or none."""
         self.attempt += 1
         name = suspects.make_crash_name(vm, f'life-{self.attempt}')
         self.times.record(name, at)
@@ -45,132 +45,132 @@
                 )
             )
 
-    def judge(self, now, is_trial=False, task=TASK):
+    def assess(self, now, is_trial=False, task=TASK):
         """Return the verdict on a task."""
         found = self.state.tasks[task]
         return suspects.assess(self.state, found, self.times, is_trial, now)
 
 
 def test_first_crash_changes_nothing(case):
-    docket = Docket()
-    docket.crash(50.0)
-    case.assertIs(docket.judge(50.0), PLACE)
+    scenario = Scenario()
+    scenario.crash(50.0)
+    case.assertIs(scenario.assess(50.0), PLACE)
 
 
-def test_two_crashes_at_the_start_are_enough_once_it_stays_calm(case):
-    docket = Docket()
-    docket.crash(50.0, 'vm-1')
-    docket.crash(50.1, 'vm-2')
-    case.assertIs(docket.judge(50.5), HOLD)
-    case.assertIs(docket.judge(51.2), GIVE_UP)
+def test_two_crashes_at_the_start_are_conclusive_after_a_quiet_period(case):
+    scenario = Scenario()
+    scenario.crash(50.0, 'vm-1')
+    scenario.crash(50.1, 'vm-2')
+    case.assertIs(scenario.assess(50.5), HOLD)
+    case.assertIs(scenario.assess(51.2), GIVE_UP)
 
 
-def test_crash_of_another_worker_near_them_calls_for_a_trial(case):
-    docket = Docket()
-    docket.crash(50.0, 'vm-1')
-    docket.crash(50.1, 'vm-2')
-    docket.crash(50.2, 'vm-3', tasks=())
-    case.assertIs(docket.judge(50.9), HOLD)
-    case.assertIs(docket.judge(51.3), TRY)
+def test_crash_of_another_worker_requires_a_trial(case):
+    scenario = Scenario()
+    scenario.crash(50.0, 'vm-1')
+    scenario.crash(50.1, 'vm-2')
+    scenario.crash(50.2, 'vm-3', tasks=())
+    case.assertIs(scenario.assess(50.9), HOLD)
+    case.assertIs(scenario.assess(51.3), TRY)
 
 
-def test_crash_at_a_trial_is_enough(case):
-    docket = Docket()
-    docket.crash(49.9, 'vm-3', tasks=())
-    docket.crash(50.0, 'vm-1')
-    docket.crash(50.1, 'vm-2')
-    docket.crash(52.0, 'vm-4')
-    case.assertIs(docket.judge(57.0, is_trial=True), GIVE_UP)
-    case.assertIs(docket.judge(57.0), TRY)
+def test_crash_in_a_trial_is_conclusive(case):
+    scenario = Scenario()
+    scenario.crash(49.9, 'vm-3', tasks=())
+    scenario.crash(50.0, 'vm-1')
+    scenario.crash(50.1, 'vm-2')
+    scenario.crash(52.0, 'vm-4')
+    case.assertIs(scenario.assess(57.0, is_trial=True), GIVE_UP)
+    case.assertIs(scenario.assess(57.0), TRY)
 
 
 def test_trial_waits_for_the_end_of_a_series(case):
-    docket = Docket()
+    scenario = Scenario()
     for turn in range(4):
-        docket.crash(50.0 + 2 * turn, f'vm-{turn}', tasks=())
-    docket.crash(58.0, 'vm-8', ran_ms=1900)
-    docket.crash(60.0, 'vm-9', ran_ms=1900)
-    case.assertIs(docket.judge(63.9), HOLD)
-    case.assertIs(docket.judge(64.1), TRY)
+        scenario.crash(50.0 + 2 * turn, f'vm-{turn}', tasks=())
+    scenario.crash(58.0, 'vm-8', ran_ms=1900)
+    scenario.crash(60.0, 'vm-9', ran_ms=1900)
+    case.assertIs(scenario.assess(63.9), HOLD)
+    case.assertIs(scenario.assess(64.1), TRY)
 
 
-def test_crash_of_a_worker_that_crashed_before_shows_little(case):
-    docket = Docket()
-    docket.crash(40.0, 'vm-1', tasks=())
-    docket.crash(50.0, 'vm-1')
-    docket.crash(50.1, 'vm-2')
-    case.assertIs(docket.judge(55.0), TRY)
+def test_crash_of_an_unstable_worker_is_not_conclusive(case):
+    scenario = Scenario()
+    scenario.crash(40.0, 'vm-1', tasks=())
+    scenario.crash(50.0, 'vm-1')
+    scenario.crash(50.1, 'vm-2')
+    case.assertIs(scenario.assess(55.0), TRY)
 
 
-def test_four_crashes_are_enough_in_any_case(case):
-    docket = Docket()
+def test_four_crashes_are_conclusive(case):
+    scenario = Scenario()
     for turn in range(4):
-        docket.crash(50.0 + turn, f'vm-{turn}', ran_ms=-1)
-    case.assertIs(docket.judge(53.0), GIVE_UP)
+        scenario.crash(50.0 + turn, f'vm-{turn}', ran_ms=-1)
+    case.assertIs(scenario.assess(53.0), GIVE_UP)
 
 
-def test_what_was_long_at_work_is_cleared_by_a_crash(case):
-    docket = Docket()
-    docket.crash(50.0, 'vm-1')
-    docket.crash(60.0, 'vm-2', ran_ms=suspects.STARTUP_MS + 1)
-    case.assertEqual(docket.state.tasks[TASK].crashes, [])
-    case.assertEqual(docket.state.suspects, {})
+def test_crash_after_startup_clears_a_task(case):
+    scenario = Scenario()
+    scenario.crash(50.0, 'vm-1')
+    scenario.crash(60.0, 'vm-2', ran_ms=suspects.STARTUP_MS + 1)
+    case.assertEqual(scenario.state.tasks[TASK].crashes, [])
+    case.assertEqual(scenario.state.suspects, {})
 
 
-def test_two_jobs_under_the_same_crashes_are_told_apart_first(case):
-    docket = Docket()
+def test_two_jobs_with_the_same_crashes_require_a_trial(case):
+    scenario = Scenario()
     both = (TASK, f'{OTHER}.0.0.0')
-    docket.crash(50.0, 'vm-1', tasks=both)
-    docket.crash(50.1, 'vm-2', tasks=both)
-    case.assertIs(docket.judge(55.0), TRY)
-    docket.crash(56.0, 'vm-3', tasks=both[:1])
-    case.assertIs(docket.judge(61.0, is_trial=True), GIVE_UP)
+    scenario.crash(50.0, 'vm-1', tasks=both)
+    scenario.crash(50.1, 'vm-2', tasks=both)
+    case.assertIs(scenario.assess(55.0), TRY)
+    scenario.crash(56.0, 'vm-3', tasks=both[:1])
+    case.assertIs(scenario.assess(61.0, is_trial=True), GIVE_UP)
 
 
-def test_crashes_of_what_is_given_up_are_taken_off_the_others(case):
-    docket = Docket()
+def test_crashes_of_a_given_up_task_are_removed_from_others(case):
+    scenario = Scenario()
     other = f'{OTHER}.0.0.0'
-    docket.crash(50.0, 'vm-1', tasks=(TASK, other))
-    docket.crash(50.1, 'vm-2')
+    scenario.crash(50.0, 'vm-1', tasks=(TASK, other))
+    scenario.crash(50.1, 'vm-2')
     ended = events.TaskEnded(TASK, 2, data.TaskState.FAILED, crasher=True)
-    docket.state.apply(ended)
-    case.assertEqual(docket.state.tasks[other].crashes, [])
-    case.assertEqual(docket.state.suspects, {})
+    scenario.state.apply(ended)
+    case.assertEqual(scenario.state.tasks[other].crashes, [])
+    case.assertEqual(scenario.state.suspects, {})
     case.assertEqual(
-        docket.state.find_job_state(jobs_test.ID), data.JobState.FAILED
+        scenario.state.find_job_state(jobs_test.ID), data.JobState.FAILED
     )
 
 
-def test_what_is_known_outlasts_every_process(case):
-    docket = Docket()
-    docket.crash(50.0, 'vm-1')
-    again = state.ShardState.unpack(docket.state.pack())
+def test_crashes_are_restored_from_a_snapshot(case):
+    scenario = Scenario()
+    scenario.crash(50.0, 'vm-1')
+    restored = state.ShardState.unpack(scenario.state.pack())
     case.assertEqual(
-        again.tasks[TASK].crashes, docket.state.tasks[TASK].crashes
+        restored.tasks[TASK].crashes, scenario.state.tasks[TASK].crashes
     )
-    case.assertEqual(list(again.suspects), [TASK])
+    case.assertEqual(list(restored.suspects), [TASK])
 
 
-def test_new_owner_tries_before_it_gives_up(case):
-    """It has not heard whether others crashed at that time."""
-    docket = Docket()
-    docket.crash(50.0, 'vm-1')
-    docket.crash(50.1, 'vm-2')
-    docket.times = suspects.CrashTimes(60.0)
-    case.assertIs(docket.judge(60.5), HOLD)
-    case.assertIs(docket.judge(61.5), TRY)
+def test_new_owner_requires_a_trial(case):
+    """It doesn't know whether other workers crashed at that time."""
+    scenario = Scenario()
+    scenario.crash(50.0, 'vm-1')
+    scenario.crash(50.1, 'vm-2')
+    scenario.times = suspects.CrashTimes(60.0)
+    case.assertIs(scenario.assess(60.5), HOLD)
+    case.assertIs(scenario.assess(61.5), TRY)
 
 
 def choose(suspected, beside, choosy=True, **fields):
-    """Return the VM for a task, where the emptier one has a suspect.
+    """Return the VM chosen for a task; the emptier one runs a suspect.
 
-    :param suspected: under how many crashes the task was
-    :param beside: under how many a task of another job there was
+    :param suspected: number of crashes of the task
+    :param beside: number of crashes of the suspect, which is of another job
     """
-    docket = Docket()
+    scenario = Scenario()
     for turn in range(suspected):
-        docket.crash(50.0 + turn, 'vm-9')
-    record = docket.state.workloads[jobs_test.FIRST]
+        scenario.crash(50.0 + turn, 'vm-9')
+    record = scenario.state.workloads[jobs_test.FIRST]
     for name, value in fields.items():
         setattr(record.workload, name, value)
     demand = backlog.Demand(record)
@@ -181,16 +181,16 @@
     return choice.view.vm.name if choice.view else ''
 
 
-def test_suspects_are_kept_apart(case):
+def test_suspects_are_placed_on_different_vms(case):
     case.assertEqual(choose(1, 1), 'vm-1')
     case.assertEqual(choose(2, 1), 'vm-1')
 
 
-def test_clean_work_keeps_from_suspects_where_it_can(case):
+def test_other_tasks_avoid_vms_with_suspects(case):
     case.assertEqual(choose(0, 2), 'vm-1')
 
 
-def test_suspects_go_to_the_end_of_their_step(case):
+def test_suspects_come_last_in_their_step(case):
     made = jobs_test.accept(jobs_test.make_step(3))
     made.apply(events.TaskPlaced(TASK, 1, 'vm-1'))
     made.apply(events.TaskRequeued(TASK, 1, crash='vm-1/a', ran_ms=9))
@@ -208,40 +208,40 @@
     case.assertEqual(demand.tasks, [f'{jobs_test.FIRST}.1'])
 
 
-def test_giving_up_at_once(case):
+def test_giving_up_without_a_quiet_period_is_caught(case):
     faults_test.check(
         case,
-        test_two_crashes_at_the_start_are_enough_once_it_stays_calm,
+        test_two_crashes_at_the_start_are_conclusive_after_a_quiet_period,
         suspects.CrashTimes,
         'measure_quiet_seconds',
         lambda self: 0.0,
     )
 
 
-def test_crashes_of_others_left_out(case):
+def test_ignored_crashes_of_other_workers_are_caught(case):
     faults_test.check(
         case,
-        test_crash_of_another_worker_near_them_calls_for_a_trial,
+        test_crash_of_another_worker_requires_a_trial,
         suspects.CrashTimes,
         'is_calm',
         lambda self, since, names=(): True,
     )
 
 
-def test_workers_taken_for_steady(case):
+def test_ignored_unstable_worker_is_caught(case):
     faults_test.check(
         case,
-        test_crash_of_a_worker_that_crashed_before_shows_little,
+        test_crash_of_an_unstable_worker_is_not_conclusive,
         suspects.CrashTimes,
         'was_worker_stable',
         lambda self, name: True,
     )
 
 
-def test_any_of_those_under_a_crash_given_up(case):
+def test_giving_up_without_comparing_suspects_is_caught(case):
     faults_test.check(
         case,
-        test_two_jobs_under_the_same_crashes_are_told_apart_first,
+        test_two_jobs_with_the_same_crashes_require_a_trial,
         suspects,
         '_is_prime_suspect',
         lambda made, task: True,
