--- a/packages/scheduler/portwharf/scheduler/decisionlog.py
+++ b/packages/scheduler/portwharf/scheduler/decisionlog.py
@@ -129,7 +129,7 @@
 
 
 def log_suspect(task):
-    """Log the second or a later crash of a task's workers."""
+    """Log that a task's workers have crashed for the second time or more."""
     extra = logs.fields(
         task=task.id, attempt=task.attempt, count=len(task.crashes)
     )
@@ -143,7 +143,7 @@
 
 
 def log_given_up(task):
-    """Log that a task is failed because it crashes its workers."""
+    """Log that a task fails because it crashes its workers."""
     extra = logs.fields(
         task=task.id, attempt=task.attempt, count=len(task.crashes)
     )
--- a/packages/scheduler/portwharf/scheduler/jobs.py
+++ b/packages/scheduler/portwharf/scheduler/jobs.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Expands jobs into workloads, validates them, computes their deadlines.
+"""Validates jobs, expands them into workloads and computes objectives.
 
 The steps of a job form a directed acyclic graph: a step becomes ready when all
 tasks of the steps that it depends on have succeeded. Each step is a workload,
@@ -81,10 +81,11 @@
 
 
 def measure_chains(steps, run_ms=None):
-    """Return how long the longest path from each step on takes.
+    """Return how long it takes from each step to the end of the job.
 
     :param run_ms: how long a task of each step runs; by default as estimated
-    :returns: list of milliseconds, the step itself included
+    :returns: list of milliseconds: the longest path of dependent steps that
+        begins with the step
     """
     run_ms = run_ms or [step.run_ms for step in steps]
     chains = list(run_ms)
@@ -123,5 +124,5 @@
 
 def _make_problem(job, field, value, text):
     return data.Problem(
-        'bad-job', field, value, text, f'correct it and submit {job.id} again'
+        'bad-job', field, value, text, f'mend it and submit {job.id} again'
     )
--- a/packages/scheduler/portwharf/scheduler/preparing_test.py
+++ b/packages/scheduler/portwharf/scheduler/preparing_test.py
@@ -60,10 +60,10 @@
     made.run(6)
     made.finish_running()
     made.run(3)
-    begun = {
+    started = {
         run.attempt.task for node in made.nodes for run in node.worker.record
     }
-    case.assertFalse(prepared & begun)
+    case.assertFalse(prepared & started)
     ownership_test.finish(made)
 
 
--- a/packages/scheduler/portwharf/scheduler/state.py
+++ b/packages/scheduler/portwharf/scheduler/state.py
@@ -144,7 +144,7 @@
 
     def list_tasks(self, record):
         """Return all tasks of a workload, also those never placed."""
-        unbegun = (
+        initial_state = (
             data.TaskState.CANCELLED
             if record.cancelled
             else data.TaskState.WAITING
@@ -152,17 +152,17 @@
         tasks = list(record.tasks)
         for number in range(record.begun, record.workload.count):
             task_id = ids.make_task_id(record.id, number)
-            tasks.append(TaskRecord(task_id, number, unbegun))
+            tasks.append(TaskRecord(task_id, number, initial_state))
         return tasks
 
     def count_states(self, record):
         """Return the number of a workload's tasks by state, as a Counter."""
         counts = collections.Counter(task.state for task in record.tasks)
-        unbegun = max(0, record.workload.count - record.begun)
+        unplaced = max(0, record.workload.count - record.begun)
         if record.cancelled:
-            counts[data.TaskState.CANCELLED] += unbegun
+            counts[data.TaskState.CANCELLED] += unplaced
         else:
-            counts[data.TaskState.WAITING] += unbegun
+            counts[data.TaskState.WAITING] += unplaced
         return counts
 
     def list_unended(self):
