--- a/packages/scheduler/portwharf/scheduler/decisions/health_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/health_test.py
@@ -37,11 +37,11 @@
 def test_probe_that_comes_to_no_end_is_followed_by_another(case):
     made = health.Health()
     fail(made, ['a', 'a', 'b', 'b'])
-    end = health.FIRST_SECONDS
+    end = health.MIN_QUARANTINE_SECONDS
     case.assertFalse(made.is_probing(VM, end))
     made.note_placed(VM, end)
     case.assertTrue(made.is_probing(VM, end + 1))
-    later = end + health.PROBE_SECONDS
+    later = end + health.PROBE_TIMEOUT_SECONDS
     case.assertFalse(made.is_probing(VM, later))
     case.assertTrue(made.is_probed(VM, later))
 
@@ -56,11 +56,11 @@
 def test_probe_that_fails_makes_it_longer(case):
     made = health.Health()
     fail(made, ['a', 'a', 'b', 'b'])
-    end = health.FIRST_SECONDS
+    end = health.MIN_QUARANTINE_SECONDS
     case.assertFalse(made.is_quarantined(VM, end))
     case.assertTrue(made.is_probed(VM, end))
     case.assertTrue(fail(made, ['c'], end))
-    later = end + 2 * health.FIRST_SECONDS
+    later = end + 2 * health.MIN_QUARANTINE_SECONDS
     case.assertTrue(made.is_quarantined(VM, later - 0.1))
     case.assertFalse(made.is_quarantined(VM, later))
 
@@ -78,7 +78,7 @@
     made.note_refusal(VM, 'a', 0.0)
     case.assertEqual(made.list_avoided('a', 1.0), {VM})
     case.assertEqual(made.list_avoided('b', 1.0), set())
-    case.assertEqual(made.list_avoided('a', health.AVOID_SECONDS), set())
+    case.assertEqual(made.list_avoided('a', health.MIN_AVOID_SECONDS), set())
     made.note_refusal(VM, 'a', 10.0)
     case.assertEqual(made.list_avoided('a', 13.9), {VM})
 
@@ -91,7 +91,7 @@
     made = health.Health()
     for _ in range(6):
         made.note_refusal(VM, 'a', 0.0)
-    case.assertEqual(made.list_avoided('a', health.AVOID_SECONDS), set())
+    case.assertEqual(made.list_avoided('a', health.MIN_AVOID_SECONDS), set())
 
 
 def test_old_failures_of_a_lasting_workload_are_forgotten(case):
@@ -100,7 +100,7 @@
     now = 0.0
     for _ in range(9):
         made.note_failure(VM, 'a', now)
-        now += 2 * health.LONGEST_AVOID_SECONDS
+        now += 2 * health.MAX_AVOID_SECONDS
     made.note_failure(VM, 'a', now)
-    later = now + health.AVOID_SECONDS
+    later = now + health.MIN_AVOID_SECONDS
     case.assertEqual(made.list_avoided('a', later), set())
