--- a/packages/scheduler/portwharf/scheduler/decisions/interference_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/interference_test.py
@@ -68,7 +68,7 @@
     for number in range(1000):
         model.observe(SERVICE, 0.5, {f'kind-{number}': 1}, 0.1)
     case.assertLessEqual(
-        len(model._parts[SERVICE]), interference.MAX_KINDS + 1
+        len(model._coefficients[SERVICE]), interference.MAX_COEFFICIENTS + 1
     )
 
 
@@ -86,7 +86,7 @@
     timeline = interference.Timeline()
     for second in range(10_000):
         timeline.note('vm-1', {'a': second}, float(second))
-    most = interference.RECORD_SECONDS + 2
+    most = interference.HISTORY_SECONDS + 2
     case.assertLessEqual(len(timeline._rows['vm-1']), most)
 
 
@@ -97,7 +97,7 @@
     an owner asks it for each VM with a service.
     """
     model = interference.Model()
-    for number in range(2 * interference.MAX_KINDS):
+    for number in range(2 * interference.MAX_COEFFICIENTS):
         weight = model.get_weight(SERVICE, f'kind-{number}', 0.5)
         case.assertGreater(weight, 0.0)
 
@@ -107,7 +107,7 @@
     model = interference.Model()
     measure(model, random.Random(3), 300, {'bad': 0.25})
     before = model.predict(SERVICE, 0.75, {'bad': 3}).bound(0)
-    for number in range(2 * interference.MAX_KINDS):
+    for number in range(2 * interference.MAX_COEFFICIENTS):
         model.predict(SERVICE, 0.75, {f'kind-{number}': 1})
     after = model.predict(SERVICE, 0.75, {'bad': 3}).bound(0)
     case.assertAlmostEqual(before, after, delta=before / 10)
