--- a/packages/scheduler/portwharf/scheduler/decisions/presses.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/presses.py
@@ -1,46 +1,47 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""How much what fills a VM slows what serves on it, pair by pair.
-
-For a serving image and a filling image the logarithm of the server's tail
-grows by ``press`` times the share of the VM's processors that the filling
-tasks use. The load of a server swings by itself, but slowly: so differences
-between two measurements half a second apart are learnt from, in which what
-began, ended or was paced between them shows and the load hardly does.
-
-Sides send what they observed to their owner, who learns from all of it and
-tells all sides: the images are the same everywhere, and one VM alone sees
-too few changes. A Kalman filter for each serving image tells apart what
-began at the same moment, and how sure it is of each press.
+"""Learns how much each filling image slows each serving image on its VM.
+
+The logarithm of a serving task's tail latency grows by ``press`` times the
+share of the VM's processors that the filling image's tasks use: a press is
+the coefficient of one pair of images. The model is fitted to the differences
+between two measurements half a second apart: they show the effect of filling
+tasks that started, ended or changed pace between the two, while the slower
+variation of the serving task's own load hardly shows.
+
+Sides send their observations to the owner, which learns from all of them and
+sends the presses back to all sides, as images behave alike everywhere and a
+single VM sees too few changes. There is one Kalman filter for each serving
+image; its covariance separates the effects of images that started together,
+and gives the deviation of each press.
 """
 
 import math
 
 from portwharf.peers import messages
 
-# What a press is taken for before anything is known of it, and how far off
-# that may be: between the light ones and the heaviest that were measured.
+# Prior of a press, and its standard deviation.
 PRIOR_PRESS = 2.5
 PRIOR_DEVIATION = 4.0
 MAX_PRESS = 40.0
-# What a server is taken to bear until its tail has been measured: growth of
+# Headroom of a serving image until its tail has been measured, as growth of
 # the logarithm of its tail.
 FRESH_ROOM = 0.4
-# Noise of a difference: half a second of swinging load, and tails that are
-# told in whole milliseconds.
+# Standard deviation of an observed growth: load varies between measurements,
+# and tails are reported in whole milliseconds.
 _NOISE_DEVIATION = 0.15
-# Presses change within seconds by some amount; variance by observation.
+# Variance added to a press with each observation of its image.
 _DRIFT_VARIANCE = 0.02
-# How far a press may shift before it is measured again, and how much of the
-# deviation counts when work is paced.
-_SHIFT = 1.5
-_DOUBT = 0.25
-# Differences of processors smaller than this share say too little.
-LEAST_DIFFERENCE = 0.02
+# Cautious press used for pacing: this factor times the press, as it may grow
+# before it is measured again, plus this share of its deviation.
+_SHIFT_FACTOR = 1.5
+_DEVIATION_FACTOR = 0.25
+# Smaller changes of the share of processors show too little.
+MIN_DIFFERENCE = 0.02
 
 
-class _Filter:
-    """What is known of the presses on one serving image."""
+class _KalmanFilter:
+    """Estimates of the presses of all filling images on one serving image."""
 
     def __init__(self):
         self.images = []
@@ -48,7 +49,7 @@
         self._covariance = []
 
     def add(self, image, press=PRIOR_PRESS, deviation=PRIOR_DEVIATION):
-        """Begin to reckon with a filling image."""
+        """Add a filling image, unless it is known, with its prior."""
         if image in self.images:
             return
         for row in self._covariance:
@@ -58,14 +59,19 @@
         self._covariance.append([0.0] * len(self.images))
         self._covariance[-1][-1] = deviation**2
 
-    def measure(self, number):
-        """Return how far off the press of an image may be."""
+    def get_deviation(self, number):
+        """Return the standard deviation of a press.
+
+        :param number: index of the filling image
+        """
         return math.sqrt(max(0.0, self._covariance[number][number]))
 
     def observe(self, differences, growth):
-        """Learn from one observation.
+        """Update the presses with one observation.
 
-        :param differences: map of filling image to a share of processors
+        :param differences: map of filling image to the change of the share
+            of processors that it uses
+        :param growth: growth of the logarithm of the serving image's tail
         """
         for image in differences:
             self.add(image)
@@ -92,69 +98,77 @@
 
 
 class Presses:
-    """The presses of all pairs, as far as they are known."""
+    """The presses of all known pairs of a serving and a filling image."""
 
     def __init__(self):
         self._filters = {}
-        self._told = {}
+        self._estimates = {}
 
     def find(self, serving, filling):
-        """Return the press of a pair, the best that is known."""
-        told = self._told.get((serving, filling))
-        return told.press if told is not None else PRIOR_PRESS
+        """Return the estimated press of a pair."""
+        known = self._estimates.get((serving, filling))
+        return known.press if known is not None else PRIOR_PRESS
 
     def find_upper(self, serving, filling):
-        """Return what a pair's press is taken for when it matters."""
-        told = self._told.get((serving, filling))
-        if told is None:
+        """Return the press of a pair plus its deviation, for placement."""
+        known = self._estimates.get((serving, filling))
+        if known is None:
             return PRIOR_PRESS + PRIOR_DEVIATION
-        return told.press + told.deviation
+        return known.press + known.deviation
 
     def find_cautious(self, serving, filling):
-        """Return what a pair's press is paced by.
+        """Return the cautious press of a pair, for pacing.
 
-        A press may grow by half within a second, and what is not known yet
-        may be heavy.
+        It allows for growth since the last measurement, and for uncertainty.
         """
-        told = self._told.get((serving, filling))
-        if told is None:
-            return PRIOR_PRESS + _DOUBT * PRIOR_DEVIATION
-        return _SHIFT * told.press + _DOUBT * told.deviation
+        known = self._estimates.get((serving, filling))
+        if known is None:
+            return PRIOR_PRESS + _DEVIATION_FACTOR * PRIOR_DEVIATION
+        return (
+            _SHIFT_FACTOR * known.press + _DEVIATION_FACTOR * known.deviation
+        )
 
     def learn(self, observed):
-        """Learn from a ``messages.PressObserved``."""
+        """Update the presses with a ``messages.PressObserved``."""
         differences = {
-            one.image: one.share for one in observed.differences if one.share
+            change.image: change.share
+            for change in observed.differences
+            if change.share
         }
         square = sum(share**2 for share in differences.values())
-        if square < LEAST_DIFFERENCE**2:
+        if square < MIN_DIFFERENCE**2:
             return
         name = observed.serving
-        known = self._filters.setdefault(name, _Filter())
-        known.observe(differences, observed.growth)
-        for number, image in enumerate(known.images):
-            self._told[(name, image)] = messages.Press(
-                name, image, known.presses[number], known.measure(number)
+        model = self._filters.setdefault(name, _KalmanFilter())
+        model.observe(differences, observed.growth)
+        for number, image in enumerate(model.images):
+            self._estimates[(name, image)] = messages.Press(
+                name, image, model.presses[number], model.get_deviation(number)
             )
 
-    def adopt(self, told):
-        """Begin with what a former owner has learnt, as a side was told.
+    def adopt(self, estimates):
+        """Start from a former owner's presses, as a side received them.
 
-        What has been learnt here already goes first.
+        Pairs that are known already keep their own estimates.
+
+        :param estimates: list of ``messages.Press``
         """
-        for one in told:
-            name = (one.serving, one.filling)
-            if name in self._told:
+        for known in estimates:
+            name = (known.serving, known.filling)
+            if name in self._estimates:
                 continue
-            known = self._filters.setdefault(one.serving, _Filter())
-            known.add(one.filling, one.press, one.deviation)
-            self._told[name] = one
+            model = self._filters.setdefault(known.serving, _KalmanFilter())
+            model.add(known.filling, known.press, known.deviation)
+            self._estimates[name] = known
+
+    def take_told(self, estimates):
+        """Replace estimates by those that the owner has sent.
 
-    def take_told(self, told):
-        """Take what somebody else has learnt."""
-        for one in told:
-            self._told[(one.serving, one.filling)] = one
+        :param estimates: list of ``messages.Press``
+        """
+        for known in estimates:
+            self._estimates[(known.serving, known.filling)] = known
 
     def list_all(self):
-        """Return all that is known, as ``messages.Press``."""
-        return list(self._told.values())
+        """Return all estimates, as a list of ``messages.Press``."""
+        return list(self._estimates.values())
