--- a/packages/scheduler/portwharf/scheduler/decisions/remedies.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies.py
@@ -1,11 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What is done when a service is at risk, and who makes room.
+"""Throttles and evicts batch tasks that put services' targets at risk.
 
-In this order: nothing more is placed beside it (placement asks
-:meth:`Remedies.judge`); the task that slows it most for what it costs is
-throttled; then it is saved and moved. After each step the measurements are
-given time to show what it did. Evictions have a brake for the whole shard.
+The remedies escalate: nothing more is placed beside the service (placement
+asks :meth:`Remedies.judge`); then the task that slows it most, relative to the
+cost of stopping that task, is throttled; then it is evicted. After each action
+measurements get time to show its effect. Evictions are rate-limited for the
+whole shard.
 """
 
 import collections
@@ -13,32 +14,30 @@
 
 from portwharf.core import data
 
-# A service's mean time is kept below its target by this factor, so that
-# its slow requests are in the target as well; more where evictions weigh
-# more, less where batch throughput does.
-HEADROOM = 2.5
-_HEADROOM_A_WEIGHT = 0.02
-_USUAL_TAIL_WEIGHT = 5.0
-# Deviations that a prediction is taken worse by: placing beside a service
-# near its target, and elsewhere.
-CAUTION = 1.5
-# Measurements in a row over the mark before anything is done, and how far
-# below it all is well again.
-PATIENCE = 3
+# A service's mean time is kept below its target by this factor, so that its
+# slow requests meet the target as well. The operators' weights shift it.
+HEADROOM_FACTOR = 2.5
+_HEADROOM_PER_WEIGHT = 0.02
+_DEFAULT_TAIL_WEIGHT = 5.0
+# Standard deviations that are added to a predicted time.
+CAUTION_DEVIATIONS = 1.5
+# Late measurements since the last good one before a task is throttled.
+LATE_BEFORE_ACTION = 3
 # The same before a throttled task is evicted, times the evictions' weight.
-EVICT_PATIENCE = 5
-CALM = 0.93
-# Seconds between two steps on one VM.
-STEP_SECONDS = 24.0
+LATE_BEFORE_EVICTION = 5
+# Share of the target over the headroom factor below which a service has
+# recovered.
+RECOVERED_SHARE = 0.93
+# Least time between two actions on one VM.
+ACTION_INTERVAL_SECONDS = 24.0
 THROTTLE_PERCENT = 50
-# Evictions of the whole shard: so many at once, and one more each so many
-# seconds.
+# Token bucket of the shard's evictions: its size, and the time to refill one.
 EVICTION_BURST = 4.0
-EVICTION_SECONDS = 10.0
+EVICTION_REFILL_SECONDS = 10.0
 PEAK_HALF_LIFE_SECONDS = 900.0
-# What an eviction costs, beside the work that is lost: each former one of
-# the task weighs as much as so many seconds of work.
-_EVICTED_BEFORE_SECONDS = 120.0
+# Cost of an eviction beside the lost work: seconds of work for each earlier
+# eviction of the task, and a factor for a task without checkpoints.
+_PAST_EVICTION_SECONDS = 120.0
 _NO_CHECKPOINT_FACTOR = 4.0
 
 
@@ -46,11 +45,12 @@
 class Neighbour:
     """A batch task on a VM.
 
-    :param kind: what its interference is learnt by
+    :param kind: the key by which its interference is learnt
     :param seconds: how long this attempt has run
-    :param throttled: it was told to work at less
-    :param unsure: it may be at less, by an order that this owner does not
-        know of or that was lost
+    :param evictions: how often it was evicted
+    :param throttled: this owner has throttled it
+    :param unsure: it may be throttled, by a former owner or because its
+        release was lost
     """
 
     task: str = ''
@@ -70,8 +70,9 @@
 class ServiceView:
     """A service's replica on a VM, as it was measured last.
 
-    :param peak: the highest load lately; what is placed now stays on
-    :param target: seconds, 0 for none
+    :param load: used share of its slots, which may exceed 1
+    :param peak: its recent peak load, since placed tasks outlast a lull
+    :param target: target of the response time in seconds, 0 for none
     """
 
     service: str = ''
@@ -82,7 +83,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Action:
-    """One remedy."""
+    """A throttling, release or eviction of one task.
+
+    :param percent: the pace to set, 0 to evict
+    """
 
     task: str = ''
     vm: str = ''
@@ -90,91 +94,103 @@
     percent: int = 0
 
 
-class Brake:
-    """Bounds evictions, so that trouble everywhere is no storm."""
+class EvictionBudget:
+    """Limits the rate of the shard's evictions by a token bucket."""
 
     def __init__(self):
-        self._free = EVICTION_BURST
-        self._counted = 0.0
+        self._tokens = EVICTION_BURST
+        self._refilled_at = 0.0
 
     def take(self, now):
-        """Take one eviction out of the budget; False if there is none."""
-        earned = max(0.0, now - self._counted) / EVICTION_SECONDS
-        self._free = min(EVICTION_BURST, self._free + earned)
-        self._counted = now
-        if self._free < 1:
+        """Take one eviction from the budget; return False if it is empty."""
+        refill = max(0.0, now - self._refilled_at) / EVICTION_REFILL_SECONDS
+        self._tokens = min(EVICTION_BURST, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1:
             return False
-        self._free -= 1
+        self._tokens -= 1
         return True
 
 
 class Peaks:
-    """The highest loads lately, which fade with time."""
+    """Tracks peak loads, which decay with time."""
 
     def __init__(self):
         self._peaks = {}
 
     def note(self, name, load, now):
-        """Take a load and return the peak.
+        """Record a load and return the peak.
 
-        :param name: of a service on a VM, any key
+        :param name: key of the service on its VM
         """
-        peak, when = self._peaks.get(name, (0.0, now))
-        faded = peak * 0.5 ** ((now - when) / PEAK_HALF_LIFE_SECONDS)
-        peak = max(load, faded)
+        peak, noted_at = self._peaks.get(name, (0.0, now))
+        decayed = peak * 0.5 ** ((now - noted_at) / PEAK_HALF_LIFE_SECONDS)
+        peak = max(load, decayed)
         self._peaks[name] = (peak, now)
         return peak
 
 
 class Remedies:
-    """The state of remedies on all VMs of a shard."""
+    """Decides on remedies for all VMs of a shard."""
 
     def __init__(self, model):
-        """Take an ``interference.Model`` or what predicts like one."""
+        """Take an ``interference.Model``, or one with its interface."""
         self.model = model
-        self.headroom = HEADROOM
-        self.evict_patience = EVICT_PATIENCE
-        self.brake = Brake()
-        self._over = collections.Counter()
-        self._next = collections.defaultdict(float)
+        self.headroom = HEADROOM_FACTOR
+        self.late_before_eviction = LATE_BEFORE_EVICTION
+        self.brake = EvictionBudget()
+        # Late measurements since the last good one, by VM and service.
+        self._late = collections.Counter()
+        # Time before which a VM gets no further action.
+        self._next_action = collections.defaultdict(float)
 
     def set_weights(self, weights):
-        """Follow the operators' weights of the three measures."""
-        lean = weights.evictions - weights.batch_throughput
-        lean += (weights.tail_latency - _USUAL_TAIL_WEIGHT) / 2
-        self.headroom = HEADROOM * (1 + _HEADROOM_A_WEIGHT * lean)
-        self.evict_patience = EVICT_PATIENCE * max(1.0, weights.evictions)
+        """Adapt headroom and evictions to ``configuration.Weights``."""
+        balance = weights.evictions - weights.batch_throughput
+        balance += (weights.tail_latency - _DEFAULT_TAIL_WEIGHT) / 2
+        self.headroom = HEADROOM_FACTOR * (1 + _HEADROOM_PER_WEIGHT * balance)
+        self.late_before_eviction = LATE_BEFORE_EVICTION * max(
+            1.0, weights.evictions
+        )
 
     def judge(self, services, kinds, kind):
-        """Tell what placing one more task of a kind beside services does.
+        """Predict the effect of placing one more task beside services.
 
         :param services: list of :class:`ServiceView` on the VM
-        :param kinds: Counter of kinds on the VM
-        :returns: (whether all targets hold, what it costs them)
+        :param kinds: Counter of kinds of batch work on the VM
+        :param kind: kind of the task
+        :returns: (whether all targets hold, growth of the services' log times)
         """
         cost = 0.0
         more = dict(kinds)
         more[kind] = more.get(kind, 0) + 1.0
-        for one in services:
-            load = max(one.load, one.peak)
-            added = self.model.get_weight(one.service, kind, load)
+        for view in services:
+            load = max(view.load, view.peak)
+            added = self.model.get_weight(view.service, kind, load)
             cost += added
-            if not one.target or added <= 0.002:
+            if not view.target or added <= 0.002:
                 continue
-            estimate = self.model.predict(one.service, load, more)
-            if estimate.bound(CAUTION) * self.headroom > one.target:
+            estimate = self.model.predict(view.service, load, more)
+            if (
+                estimate.bound(CAUTION_DEVIATIONS) * self.headroom
+                > view.target
+            ):
                 return False, cost
         return True, cost
 
     def note_measured(self, vm, service, seconds, target):
-        """Count a measurement against a service's target."""
+        """Compare a measurement with a service's target.
+
+        :param seconds: the measured mean response time
+        :param target: the target in seconds, 0 for none
+        """
         name = (vm, service)
         if not target:
             return
         if seconds * self.headroom > target:
-            self._over[name] += 1
-        elif seconds * self.headroom < target * CALM:
-            self._over[name] = 0
+            self._late[name] += 1
+        elif seconds * self.headroom < target * RECOVERED_SHARE:
+            self._late[name] = 0
 
     def find_action(self, vm, services, neighbours, now):
         """Return the next remedy on a VM, or None.
@@ -183,21 +199,21 @@
         :param neighbours: list of :class:`Neighbour`
         """
         at_risk = [
-            one
-            for one in services
-            if self._over[(vm, one.service)] >= PATIENCE
+            view
+            for view in services
+            if self._late[(vm, view.service)] >= LATE_BEFORE_ACTION
         ]
-        if not at_risk or now < self._next[vm]:
+        if not at_risk or now < self._next_action[vm]:
             return None
         victim = self._pick_victim(at_risk, neighbours)
         if victim is None:
             return None
-        longest = max(self._over[(vm, one.service)] for one in at_risk)
-        if victim.throttled and longest < self.evict_patience:
+        most_late = max(self._late[(vm, view.service)] for view in at_risk)
+        if victim.throttled and most_late < self.late_before_eviction:
             return None
-        self._next[vm] = now + STEP_SECONDS
-        for one in at_risk:
-            self._over[(vm, one.service)] = 0
+        self._next_action[vm] = now + ACTION_INTERVAL_SECONDS
+        for view in at_risk:
+            self._late[(vm, view.service)] = 0
         if not victim.throttled:
             reason = 'throttled-beside-a-service'
             return Action(victim.task, vm, reason, THROTTLE_PERCENT)
@@ -206,96 +222,103 @@
         return Action(victim.task, vm, 'slows-a-service')
 
     def find_release(self, vm, services, neighbours, now):
-        """Return a throttled task that may run in full again, or None."""
-        if now < self._next[vm]:
+        """Return the release of a throttled task, or None."""
+        if now < self._next_action[vm]:
             return None
-        slowed = [
-            one
-            for one in neighbours
-            if one.throttled or (one.unsure and services)
+        throttled = [
+            neighbour
+            for neighbour in neighbours
+            if neighbour.throttled or (neighbour.unsure and services)
         ]
-        if not slowed:
+        if not throttled:
             return None
         kinds = count_kinds(neighbours)
-        for one in slowed:
-            # What may be at less counts in full already.
-            more = 1 - THROTTLE_PERCENT / 100 if one.throttled else 0.0
-            kinds[one.kind] += more
-            holds = all(
+        for neighbour in throttled:
+            # A task that may be throttled is counted in full already.
+            more = 1 - THROTTLE_PERCENT / 100 if neighbour.throttled else 0.0
+            kinds[neighbour.kind] += more
+            targets_hold = all(
                 not view.target
                 or self.model.predict(view.service, view.load, kinds).bound(
-                    CAUTION
+                    CAUTION_DEVIATIONS
                 )
                 * self.headroom
-                < view.target * CALM
+                < view.target * RECOVERED_SHARE
                 for view in services
             )
-            if holds:
-                self._next[vm] = now + STEP_SECONDS
-                return Action(one.task, vm, 'released', 100)
-            kinds[one.kind] -= more
+            if targets_hold:
+                self._next_action[vm] = now + ACTION_INTERVAL_SECONDS
+                return Action(neighbour.task, vm, 'released', 100)
+            kinds[neighbour.kind] -= more
         return None
 
     def _pick_victim(self, services, neighbours):
-        """Return the task that helps most for what stopping it costs."""
+        """Return the task with the most effect for its cost, or None."""
         best = None
-        most = 0.0
-        for one in neighbours:
+        best_ratio = 0.0
+        for neighbour in neighbours:
             gain = sum(
-                self.model.get_weight(view.service, one.kind, view.load)
+                self.model.get_weight(view.service, neighbour.kind, view.load)
                 for view in services
             )
-            if one.throttled:
+            if neighbour.throttled:
                 gain *= 1 - THROTTLE_PERCENT / 100
-            worth = gain / compute_cost(one)
-            if gain > 0.005 and worth > most:
-                best, most = one, worth
+            ratio = gain / compute_cost(neighbour)
+            if gain > 0.005 and ratio > best_ratio:
+                best, best_ratio = neighbour, ratio
         return best
 
 
-def compute_cost(one):
-    """Return what evicting a task costs, in seconds of work."""
-    lost = 10.0 if one.checkpointable else 30.0 + one.seconds
-    if not one.checkpointable:
-        lost *= _NO_CHECKPOINT_FACTOR
-    lost += _EVICTED_BEFORE_SECONDS * one.evictions
-    return lost * (1 + one.importance / 200)
+def compute_cost(neighbour):
+    """Return the cost of evicting a task, in seconds of work.
+
+    :param neighbour: a :class:`Neighbour`
+    """
+    cost = 10.0 if neighbour.checkpointable else 30.0 + neighbour.seconds
+    if not neighbour.checkpointable:
+        cost *= _NO_CHECKPOINT_FACTOR
+    cost += _PAST_EVICTION_SECONDS * neighbour.evictions
+    return cost * (1 + neighbour.importance / 200)
 
 
 def count_kinds(neighbours):
-    """Return a Counter of kinds; throttled tasks count less."""
+    """Return a Counter of neighbours' kinds; throttled tasks count less."""
     kinds = collections.Counter()
-    for one in neighbours:
-        share = THROTTLE_PERCENT / 100 if one.throttled else 1.0
-        kinds[one.kind] += share
+    for neighbour in neighbours:
+        share = THROTTLE_PERCENT / 100 if neighbour.throttled else 1.0
+        kinds[neighbour.kind] += share
     return kinds
 
 
 def pick_to_make_room(size, room, neighbours, below):
-    """Return the cheapest tasks to stop so that a size fits, or [].
+    """Return the cheapest tasks to evict so that a size fits, or [].
 
-    :param size: what has to fit
-    :param room: what is free now
+    :param size: the resources that have to fit
+    :param room: the free resources
     :param neighbours: the VM's batch tasks
-    :param below: only tasks of less importance than this
+    :param below: only tasks of less importance than this are evicted
     """
     chosen = []
     order = sorted(
-        (one for one in neighbours if one.importance < below),
+        (
+            neighbour
+            for neighbour in neighbours
+            if neighbour.importance < below
+        ),
         key=compute_cost,
     )
-    for one in order:
+    for neighbour in order:
         if size.fits(room):
             break
-        if not _helps(size, room, one.resources):
+        if not _reduces_shortage(size, room, neighbour.resources):
             continue
-        chosen.append(one)
-        room = room.add(one.resources)
+        chosen.append(neighbour)
+        room = room.add(neighbour.resources)
     return chosen if size.fits(room) else []
 
 
-def _helps(size, room, freed):
-    """Tell whether freeing an amount brings a size nearer to fitting."""
+def _reduces_shortage(size, room, freed):
+    """Return whether freeing an amount reduces the shortage of a size."""
     short = size.subtract(room)
     return any(
         getattr(short, axis) > 0 and getattr(freed, axis) > 0
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
@@ -39,7 +39,7 @@
     return remedies.Neighbour(**{**values, **fields})
 
 
-def note(made, seconds, count=remedies.PATIENCE):
+def note(made, seconds, count=remedies.LATE_BEFORE_ACTION):
     """Have a service be measured some times."""
     for _ in range(count):
         made.note_measured(VM, SERVICE.service, seconds, SERVICE.target)
@@ -58,7 +58,7 @@
 
 def test_one_late_measurement_is_not_enough(case):
     made = make(bad=0.3)
-    note(made, LATE, remedies.PATIENCE - 1)
+    note(made, LATE, remedies.LATE_BEFORE_ACTION - 1)
     case.assertIsNone(find(made, [make_task()]))
 
 
@@ -68,9 +68,9 @@
     action = find(made, [make_task()])
     case.assertEqual(action.percent, remedies.THROTTLE_PERCENT)
     note(made, LATE)
-    later = 100.0 + remedies.STEP_SECONDS
+    later = 100.0 + remedies.ACTION_INTERVAL_SECONDS
     case.assertIsNone(find(made, [make_task(throttled=True)], later))
-    note(made, LATE, remedies.EVICT_PATIENCE)
+    note(made, LATE, remedies.LATE_BEFORE_EVICTION)
     action = find(made, [make_task(throttled=True)], later)
     case.assertEqual((action.task, action.percent), ('0-bad.0', 0))
 
@@ -80,17 +80,17 @@
     note(made, LATE)
     find(made, [make_task()])
     note(made, LATE)
-    soon = 100.0 + remedies.STEP_SECONDS - 1
+    soon = 100.0 + remedies.ACTION_INTERVAL_SECONDS - 1
     case.assertIsNone(find(made, [make_task(throttled=True)], soon))
 
 
 def test_weights_move_headroom_and_patience(case):
     made = make()
     made.set_weights(configuration.Weights(5, 3, 1))
-    batch = made.headroom, made.evict_patience
+    batch = made.headroom, made.late_before_eviction
     made.set_weights(configuration.Weights(5, 1, 3))
     case.assertGreater(made.headroom, batch[0])
-    case.assertEqual(made.evict_patience, 3 * batch[1])
+    case.assertEqual(made.late_before_eviction, 3 * batch[1])
 
 
 def test_harmless_neighbours_are_left_alone(case):
@@ -113,10 +113,10 @@
 
 
 def test_evictions_have_a_brake(case):
-    brake = remedies.Brake()
+    brake = remedies.EvictionBudget()
     taken = sum(brake.take(100.0) for _ in range(50))
     case.assertEqual(taken, remedies.EVICTION_BURST)
-    later = 100.0 + 2 * remedies.EVICTION_SECONDS
+    later = 100.0 + 2 * remedies.EVICTION_REFILL_SECONDS
     case.assertEqual(sum(brake.take(later) for _ in range(50)), 2)
 
 
