--- a/packages/scheduler/portwharf/scheduler/decisions/backlog.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/backlog.py
@@ -2,8 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """Workloads with waiting tasks, and the order in which they are served.
 
-Urgency first, then importance, deadline and age. A job's step goes by the
-time at which it has to begin, so that its job ends in time.
+Workloads are ordered by urgency, importance, deadline and age. A job's step
+is ordered by importance, by whether its job can still meet its objective, and
+by how much work its job has left.
 """
 
 import collections
@@ -13,23 +14,24 @@
 from portwharf.scheduler.decisions import forecast
 from portwharf.scheduler import suspects
 
-# Tasks placed in one pass; the rest waits for the next.
+# Tasks placed in one pass; the others wait for the next pass.
 MAX_PLACEMENTS = 200
-# Importance that waiting adds, so that nothing starves.
-AGEING_A_MINUTE = 2.0
+# Importance that a workload gains by waiting, so that none starves.
+AGEING_PER_MINUTE = 2.0
 MAX_AGEING = 400.0
 _NO_DEADLINE = float('inf')
-# A job that is late is served last, but not for longer than this.
-_PATIENCE_MS = 30_000
-# Estimates of run times are off by a third or so either way.
+# For this long after its job has become too late to matter, a step is served
+# last.
+_LATE_DEFERRAL_MS = 30_000
+# Relative error of estimated run times.
 _ESTIMATE_TOLERANCE = 0.3
 
 
 class Demand:
     """A workload with waiting tasks.
 
-    Which tasks wait is worked out when it is first asked for: in a pass over
-    thousands of jobs most are never asked.
+    The list of its waiting tasks is built on first use, as a pass over
+    thousands of jobs reads the lists of only a few.
     """
 
     __slots__ = (
@@ -40,35 +42,38 @@
         'avoided',
         'choosy',
         'held',
-        'prospect',
         'rack',
         'record',
         'shunned',
+        'step_forecast',
         'tickets',
         'weight',
     )
 
-    def __init__(self, record, avoided=frozenset(), prospect=None, weight=0.0):
+    def __init__(
+        self, record, avoided=frozenset(), step_forecast=None, weight=0.0
+    ):
         """Take a ``state.WorkloadRecord``.
 
-        :param avoided: VM names that its tasks keep away from
-        :param prospect: its ``forecast.Prospect``, or None
-        :param weight: of one that fills, what its job counts, as
-            ``precedence.Claim.weigh`` gives
+        :param avoided: names of the VMs that its tasks must not be placed on
+        :param step_forecast: its ``forecast.StepForecast``, or None
+        :param weight: for a filling workload, the weight of its job, as
+            ``precedence.Claim.weigh`` returns it
         """
         self.weight = weight
         self.record = record
         self.avoided = avoided
-        self.prospect = prospect or forecast.Prospect()
-        # It rather waits than goes where it would hardly work.
+        self.step_forecast = step_forecast or forecast.StepForecast()
+        # Whether it waits for a VM that suits it, rather than accept any
+        # with room.
         self.choosy = True
-        # The rack that its tasks should share, or ''.
+        # The rack that its tasks should share, '' for any.
         self.rack = ''
-        # The VM that each of its tasks was moved away from, by task id.
+        # The VM that a task was moved away from, by task id.
         self.shunned = {}
-        # Tasks that are not to be placed now, by id.
+        # Ids of the tasks that must not be placed now.
         self.held = frozenset()
-        # Tickets of the policy that governs it, by VM name.
+        # Tickets from its queue's policy, by VM name.
         self.tickets = {}
         self._tasks = None
         self._attempts = None
@@ -77,21 +82,21 @@
 
     @property
     def tasks(self):
-        """Ids of the waiting tasks, in order; placed ones are taken off."""
+        """Ids of the waiting tasks, in order; placed ones are removed."""
         if self._tasks is None:
             self._list_tasks()
         return self._tasks
 
     @property
     def attempts(self):
-        """The number of the next attempt of each waiting task."""
+        """Number of the next attempt of each waiting task."""
         if self._attempts is None:
             self._list_tasks()
         return self._attempts
 
     @property
     def placed(self):
-        """Counter of VM names where its tasks are."""
+        """Counter of its placed tasks by VM name."""
         if self._placed is None:
             self._placed = collections.Counter(
                 task.vm for task in self.record.tasks if task.vm
@@ -100,12 +105,12 @@
 
     @property
     def unit(self):
-        """What is given up together, as ``suspects.name_unit`` gives."""
+        """Its job or workload, as ``suspects.name_unit`` returns it."""
         return suspects.name_unit(self.record)
 
     @property
     def suspected(self):
-        """How many workers have crashed under the next of its tasks."""
+        """Number of workers that crashed while running its next task."""
         crashes = self._count_crashes()
         if not crashes or not self.tasks:
             return 0
@@ -115,33 +120,33 @@
 
     @property
     def has_suspects(self):
-        """Whether a worker has crashed under any of its tasks."""
+        """Whether a worker crashed while running any of its tasks."""
         return bool(self._count_crashes())
 
     @property
-    def shuns(self):
-        """The VM that the next of its tasks was moved away from, or ''."""
+    def shunned_vm(self):
+        """The VM that its next task was moved away from, or ''."""
         if not self.shunned or not self.tasks:
             return ''
         return self.shunned.get(self.tasks[0], '')
 
     def take_any(self):
-        """Go wherever there is room: it has waited for long enough."""
+        """Accept any VM with room, as it has waited long enough."""
         self.choosy = False
         self.avoided = frozenset()
         self.shunned = {}
 
     @property
-    def starves(self):
-        """Whether it has waited for long and has nothing running.
+    def is_starving(self):
+        """Whether it has waited for long and has no task placed.
 
-        One of its tasks then goes where only memory is free: a job that
-        stands still is worse than one that works slowly.
+        One of its tasks may then be placed where only memory is free, as a
+        slow job is better than a stopped one.
         """
         return not self.choosy and not self.placed
 
     def _count_crashes(self):
-        """Return under which waiting tasks how many workers have crashed."""
+        """Return the number of worker crashes by id of a waiting task."""
         if self._crashes is None:
             self._crashes = {
                 task.id: len(task.crashes)
@@ -163,21 +168,21 @@
             and task.number < limit
             and task.id not in self.held
         ]
-        most = min(limit, record.begun + MAX_PLACEMENTS)
+        end = min(limit, record.begun + MAX_PLACEMENTS)
         rows = [(t.id, t.attempt + 1) for t in waiting if not t.crashes]
-        for number in range(record.begun, most):
+        # Tasks from ``begun`` on have never been placed.
+        for number in range(record.begun, end):
             rows.append((ids.make_task_id(record.id, number), 1))
-        # Suspects may have to wait for a VM to themselves; the others need
-        # not wait for them.
+        # Crash suspects come last: they may have to wait for a VM without
+        # other suspects, and must not hold up the other tasks.
         rows += [(t.id, t.attempt + 1) for t in waiting if t.crashes]
         self._tasks = [name for name, _ in rows]
         self._attempts = [attempt for _, attempt in rows]
 
     def _list_gang(self):
-        """List all tasks of a gang, under one number of an attempt.
+        """List all tasks of a gang, under one attempt number.
 
-        Nothing is listed while a member of the last attempt is somewhere, or
-        is held back.
+        The list is empty while a member is still placed or is held back.
         """
         record = self.record
         self._tasks = []
@@ -191,9 +196,9 @@
 
 
 class Quotas:
-    """What each team may reserve, and has reserved.
+    """Resources that each team may reserve, and has reserved.
 
-    A team without a quota of its own has no limit.
+    A team without a quota has no limit.
     """
 
     def __init__(self, limits, reserved):
@@ -202,73 +207,73 @@
         self._reserved = collections.defaultdict(data.Resources, reserved)
 
     def has_room(self, team, size):
-        """Tell whether a team may reserve this much more."""
+        """Return whether a team may reserve an additional amount."""
         limit = self._limits.get(team)
         return limit is None or self._reserved[team].add(size).fits(limit)
 
     def reserve(self, team, size):
-        """Count an amount against a team's quota."""
+        """Charge an amount to a team's quota."""
         self._reserved[team] = self._reserved[team].add(size)
 
 
 def order_demands(demands, now_ms):
-    """Return demands in the order in which they are served."""
+    """Return the demands in the order in which they are served."""
     return sorted(demands, key=lambda demand: _rank(demand, now_ms))
 
 
-def find_kind(workload):
-    """Return what a batch workload's interference is learnt by."""
+def get_interference_kind(workload):
+    """Return the key by which a batch workload's interference is learnt."""
     return f'{workload.team}/{workload.program}'
 
 
 def _rank_step(demand, now_ms):
-    """Return the rank of a job's step.
+    """Return the sort key of a job's step.
 
-    Lasting work is served before others of its importance, to be whole.
-    Then what can still end in time comes before what is late, and what is
-    too late to matter comes last, but not for ever. With too much to do at
-    once, jobs with the least left to do go first: they are worth the most
-    for what they take, and most of them end in time.
+    Within one importance, standing steps come first. Then steps that can
+    still end in time come before late ones, and steps that have become too
+    late to matter come last, for a limited time. Ties go to the job with
+    the least work left: under overload, more jobs then end in time.
     """
     record = demand.record
     workload = record.workload
-    lasts = workload.kind == data.Kind.STANDING
+    is_standing = workload.kind == data.Kind.STANDING
     return (
         True,
         True,
         -workload.importance,
-        not lasts,
-        0 if lasts else _rank_lateness(demand.prospect, now_ms),
-        demand.prospect.left,
-        demand.prospect.begin_ms,
+        not is_standing,
+        0 if is_standing else _rank_lateness(demand.step_forecast, now_ms),
+        demand.step_forecast.left,
+        demand.step_forecast.begin_ms,
         record.id,
     )
 
 
-def _rank_lateness(prospect, now_ms):
-    """Return 0 for a step in time, 1 for a late one, 2 for too late."""
-    spent = now_ms - prospect.late_ms
-    if 0 < spent < _PATIENCE_MS:
+def _rank_lateness(step_forecast, now_ms):
+    """Return 0 for a step in time, 1 for a late one, 2 for a deferred one."""
+    overdue_ms = now_ms - step_forecast.late_ms
+    if 0 < overdue_ms < _LATE_DEFERRAL_MS:
         return 2
-    tolerance = _ESTIMATE_TOLERANCE * prospect.run_ms
-    return int(now_ms > prospect.begin_ms + tolerance)
+    tolerance_ms = _ESTIMATE_TOLERANCE * step_forecast.run_ms
+    return int(now_ms > step_forecast.begin_ms + tolerance_ms)
 
 
 def _rank(demand, now_ms):
+    """Return a demand's sort key; the lowest is served first."""
     record = demand.record
     workload = record.workload
     if workload.job:
         return _rank_step(demand, now_ms)
-    due = _NO_DEADLINE
+    slack_ms = _NO_DEADLINE
     if workload.deadline_seconds:
-        end = record.unix_ms + workload.deadline_seconds * 1000
-        due = end - workload.run_seconds * 1000 - now_ms
-    aged = (now_ms - record.unix_ms) * AGEING_A_MINUTE / 60_000
+        end_ms = record.unix_ms + workload.deadline_seconds * 1000
+        slack_ms = end_ms - workload.run_seconds * 1000 - now_ms
+    ageing = (now_ms - record.unix_ms) * AGEING_PER_MINUTE / 60_000
     return (
         not workload.urgent,
         workload.kind != data.Kind.SERVICE,
-        -workload.importance - min(MAX_AGEING, aged),
-        due,
+        -workload.importance - min(MAX_AGEING, ageing),
+        slack_ms,
         record.unix_ms,
         record.id,
     )
--- a/packages/scheduler/portwharf/scheduler/decisions/choosing.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/choosing.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The VM for one task: hard limits first, then the lowest score.
+"""Chooses the VM for one task: hard limits first, then the lowest score.
 
-Every choice keeps the addends of its score and the count of VMs refused by
-each reason, for ``explain``.
+Every choice keeps the addends of its score, and the number of VMs that were
+refused for each reason, for ``explain``.
 """
 
 import collections
@@ -15,23 +15,26 @@
 from portwharf.scheduler import events
 from portwharf.scheduler import suspects
 
-REFUSED_SLOWS = 'would-slow-a-service'
-REFUSED_PROBED = 'quarantined'
+REFUSED_SLOWS_SERVICE = 'would-slow-a-service'
+REFUSED_QUARANTINED = 'quarantined'
 REFUSED_POLICY = 'not-allowed-by-policy-yet'
 REFUSED_SUSPECT = 'beside-a-suspect'
 REASON_NO_ROOM = 'no-worker-has-room-now'
 REASON_NO_WORKERS = 'no-worker-is-known'
-# Below this a filling task rather waits for another VM.
-_LEAST_PACE = 0.35
-# What slowing services a little counts against an even fill.
-_INTERFERENCE = 6.0
+# Pace, 0 to 1, below which a filling task waits for another VM.
+_MIN_PACE = 0.35
+# Weight of interference with services against the fill of a VM.
+_INTERFERENCE_WEIGHT = 6.0
 
 
 @dataclasses.dataclass(slots=True)
 class Choice:
-    """The best VM for one task, and why not the others.
+    """The best VM for one task, and the reasons against the others.
 
-    :param weight: what the task's job counts, if it fills
+    :param view: the chosen ``vmview.VmView``, or None if there is none
+    :param parts: addends of its score, as ``events.Part``
+    :param refusals: number of refused VMs by reason
+    :param weight: the weight of the task's job, for a filling task
     """
 
     view: object = None
@@ -43,10 +46,11 @@
 
     @property
     def reason(self):
-        """Why there is no VM, if there is none."""
+        """Why no VM was chosen, if none was."""
         return REASON_NO_ROOM if self.refusals else REASON_NO_WORKERS
 
     def list_refusals(self):
+        """Return the refusals as ``events.Count``, sorted by reason."""
         return [
             events.Count(name, number)
             for name, number in sorted(self.refusals.items())
@@ -54,79 +58,86 @@
 
 
 def choose_vm(demand, views, judge):
+    """Return the :class:`Choice` for a demand's next task.
+
+    :param judge: as for ``placement.place_demands``
+    """
     choice = Choice(weight=demand.weight)
-    batch = demand.record.workload.kind == data.Kind.BATCH
-    kind = backlog.find_kind(demand.record.workload)
-    best = float('inf')
+    is_batch = demand.record.workload.kind == data.Kind.BATCH
+    kind = backlog.get_interference_kind(demand.record.workload)
+    lowest = float('inf')
     spread = scoring.count_spread(demand, views)
     size = demand.record.workload.reserved
-    shuns = demand.shuns
+    shunned_vm = demand.shunned_vm
     suspected = demand.suspected
-    lonely = demand.record.workload.kind == data.Kind.SERVICE
+    is_service = demand.record.workload.kind == data.Kind.SERVICE
     for view in views:
         reason = _refuse(size, view) or _refuse_step(demand, view)
-        if lonely and not reason and demand.placed[view.vm.name]:
-            # One runner a VM: a second replica there would add nothing.
+        if is_service and not reason and demand.placed[view.vm.name]:
+            # A VM has one runner, so a second replica would add nothing.
             reason = 'replica-there-already'
         elif not reason and view.vm.name in demand.avoided:
             reason = 'failed-there-lately'
-        elif not reason and view.vm.name == shuns:
+        elif not reason and view.vm.name == shunned_vm:
             reason = 'was-moved-away-from-there'
-        elif not reason and _endangers(demand, suspected, view):
+        elif not reason and _is_crash_risk(demand, suspected, view):
             reason = REFUSED_SUSPECT
         if reason:
             choice.refusals[reason] += 1
             continue
         parts = scoring.score_vm(demand, view, spread)
-        parts += scoring.score_danger(demand, suspected, view)
-        if batch and judge is not None and view.services:
-            holds, cost = judge(view.services, view.kinds, kind)
-            if not holds:
-                choice.refusals[REFUSED_SLOWS] += 1
+        parts += scoring.score_crash_risk(demand, suspected, view)
+        if is_batch and judge is not None and view.services:
+            targets_hold, cost = judge(view.services, view.kinds, kind)
+            if not targets_hold:
+                choice.refusals[REFUSED_SLOWS_SERVICE] += 1
                 continue
-            parts.append(events.Part('interference', _INTERFERENCE * cost))
+            parts.append(
+                events.Part('interference', _INTERFERENCE_WEIGHT * cost)
+            )
         total = sum(part.value for part in parts)
-        if total < best:
-            best = total
+        if total < lowest:
+            lowest = total
             choice.view = view
             choice.parts = parts
     return choice
 
 
-def count_placed(demand, view):
-    """Count one more task of a demand on a view."""
+def count_placement(demand, view):
+    """Add a demand's next task to the view of its VM."""
     workload = demand.record.workload
     if workload.kind == data.Kind.BATCH:
-        view.kinds[backlog.find_kind(workload)] += 1
+        view.kinds[backlog.get_interference_kind(workload)] += 1
     if demand.suspected:
         view.note_suspect(demand.unit, demand.suspected)
     view.add_task(workload, demand.weight)
     if view.probe:
-        view.closed = REFUSED_PROBED
+        view.closed = REFUSED_QUARANTINED
     demand.placed[view.vm.name] += 1
 
 
-def _endangers(demand, suspected, view):
-    """Tell whether a crash there could not be blamed, or would cost much.
+def _is_crash_risk(demand, suspected, view):
+    """Return whether a crash there would be ambiguous or costly.
 
-    Suspects are kept apart: what two of them have in common says nothing.
-    That holds for the first crash as long as there are other VMs, and so
-    does keeping from a suspect what serves.
+    Crash suspects are placed on different VMs, as a crash under two of them
+    would not tell which one caused it. Only while the demand is choosy, a task
+    with a single crash and a serving task are kept away from suspects, and a
+    suspect from workers that crashed lately.
 
-    :param suspected: how many workers crashed under the task
+    :param suspected: number of workers that crashed under the task
     """
     others = [n for unit, n in view.suspects.items() if unit != demand.unit]
-    tried = suspected >= suspects.SUSPICIOUS
+    is_suspect = suspected >= suspects.SUSPICIOUS
     if not others:
-        return tried and view.unsteady and demand.choosy
+        return is_suspect and view.unsteady and demand.choosy
     if suspected and max(suspected, *others) >= suspects.SUSPICIOUS:
         return True
-    serves = demand.record.workload.target_ms > 0
-    return demand.choosy and (suspected > 0 or serves)
+    is_serving = demand.record.workload.target_ms > 0
+    return demand.choosy and (suspected > 0 or is_serving)
 
 
 def _refuse(size, view):
-    """Return why a VM cannot take a task of this size, or ''."""
+    """Return why a VM cannot take a task of a size, or ''."""
     if view.closed:
         return view.closed
     room = view.room
@@ -144,18 +155,18 @@
     workload = demand.record.workload
     if not view.suits(workload):
         return 'other-pool-or-label'
-    most = workload.most_per_vm
-    if most and demand.placed[view.vm.name] >= most:
+    limit = workload.most_per_vm
+    if limit and demand.placed[view.vm.name] >= limit:
         return 'enough-of-them-there'
     if workload.ticket_ms and view.vm.name not in demand.tickets:
         return REFUSED_POLICY
-    if workload.fills and not demand.starves:
-        room = view.capacity.cpu_milli - view.busy_milli
-        if workload.resources.cpu_milli > room:
+    if workload.fills and not demand.is_starving:
+        idle_milli = view.capacity.cpu_milli - view.busy_milli
+        if workload.resources.cpu_milli > idle_milli:
             return 'processors'
         if (
             demand.choosy
-            and view.predict_pace(workload, demand.weight) < _LEAST_PACE
+            and view.predict_pace(workload, demand.weight) < _MIN_PACE
         ):
-            return REFUSED_SLOWS
+            return REFUSED_SLOWS_SERVICE
     return ''
--- a/packages/scheduler/portwharf/scheduler/decisions/forecast_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/forecast_test.py
@@ -33,7 +33,7 @@
 
 def test_estimate_holds_until_enough_was_measured(case):
     known = forecast.RunTimes()
-    teach(known, forecast.LEAST_MEASURED - 1, 0.9)
+    teach(known, forecast.MIN_MEASUREMENTS - 1, 0.9)
     case.assertEqual(known.predict(QUEUE, make_record('x', 500)), 500)
 
 
@@ -143,8 +143,8 @@
 def test_job_without_a_stretch_keeps_its_objective(case):
     made = jobs_test.accept()
     looked = forecast.Forecast(made)
-    prospect = looked.look_at(made.workloads[jobs_test.FIRST])
-    case.assertEqual(prospect.late_ms, NOW + 3 * 2000)
+    step_forecast = looked.look_at(made.workloads[jobs_test.FIRST])
+    case.assertEqual(step_forecast.late_ms, NOW + 3 * 2000)
 
 
 def test_each_time_of_a_job_is_looked_at_by_itself(case):
@@ -152,9 +152,9 @@
         jobs_test.make_step(2), times=2, first_ms=NOW, interval_ms=5000
     )
     later = made.workloads[f'{jobs_test.ID}.1.0']
-    prospect = forecast.Forecast(made).look_at(later)
-    case.assertEqual(prospect.begin_ms, NOW + 5000 + 2000 - 500)
-    case.assertEqual(prospect.left, 1000 * 2 * 500)
+    step_forecast = forecast.Forecast(made).look_at(later)
+    case.assertEqual(step_forecast.begin_ms, NOW + 5000 + 2000 - 500)
+    case.assertEqual(step_forecast.left, 1000 * 2 * 500)
 
 
 def test_claim_of_a_task_goes_by_what_is_known(case):
--- a/packages/scheduler/portwharf/scheduler/decisions/gangs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/gangs.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Gangs: tasks that work only all together, and steps that share a rack.
+"""Gang scheduling, and the choice of a rack for steps that share one.
 
-A gang is placed whole or not at all, under one number of an attempt: a part
-of it would hold room and do nothing. When one member is over, so are all:
-with a success the whole gang has succeeded; otherwise the others are
-stopped, and all begin again from what any of them saved.
+A gang's tasks can only work together. It is placed whole or not at all, under
+one attempt number, as a part of it would hold room and do nothing. When one
+member ends, all do: a success counts for the whole gang; otherwise the other
+members are stopped, and all start again from the gang's last checkpoint.
 """
 
 import collections
@@ -15,21 +15,21 @@
 from portwharf.scheduler import events
 
 
-def choose_all(demand, views, judge):
+def choose_vms(demand, views, judge):
     """Choose a VM for each task of a gang.
 
-    :returns: list of ``choosing.Choice``, on copies of the views; the last
+    :returns: list of ``choosing.Choice``, whose views are copies; the last
         one has no view if the gang does not fit
     """
-    trial = [view.copy() for view in views]
+    copies = [view.copy() for view in views]
     chosen = []
     for _ in demand.tasks:
-        choice = choosing.choose_vm(demand, trial, judge)
+        choice = choosing.choose_vm(demand, copies, judge)
         chosen.append(choice)
         if choice.view is None:
             break
-        choosing.count_placed(demand, choice.view)
-    # What was tried has left its trace on the demand.
+        choosing.count_placement(demand, choice.view)
+    # Undo what count_placement added to the demand itself.
     for choice in chosen:
         if choice.view is not None:
             demand.placed[choice.view.vm.name] -= 1
@@ -37,7 +37,7 @@
 
 
 def sum_sizes(workload):
-    """Return what a whole gang reserves."""
+    """Return the resources that a whole gang reserves."""
     size = workload.resources
     count = workload.count
     return data.Resources(
@@ -48,32 +48,33 @@
 
 
 def pick_rack(demand, views):
-    """Return the rack that a step's waiting tasks should go to, or ''.
+    """Return the rack for a step's waiting tasks, or '' if there is none.
 
-    The one where most of its tasks are, or else could be.
+    This is the rack with most of its placed tasks; among equals, the one with
+    room for most of the waiting ones.
     """
     size = demand.record.workload.reserved
     placed = collections.Counter()
-    could = collections.Counter()
+    fitting = collections.Counter()
     for view in views:
         if not view.rack:
             continue
         placed[view.rack] += demand.placed[view.vm.name]
         if not view.closed and view.suits(demand.record.workload):
-            could[view.rack] += _count_fitting(size, view.room)
+            fitting[view.rack] += _count_fitting(size, view.room)
     needed = len(demand.tasks)
     return max(
-        sorted(could),
-        key=lambda rack: (placed[rack], min(needed, could[rack])),
+        sorted(fitting),
+        key=lambda rack: (placed[rack], min(needed, fitting[rack])),
         default='',
     )
 
 
 def end_others(record, event):
-    """Return the events that end a gang whose member has succeeded.
+    """Return the events that end the other members of a gang.
 
     :param record: the gang's ``state.WorkloadRecord``
-    :param event: the member's ``events.TaskEnded``
+    :param event: the ``events.TaskEnded`` of the member that succeeded
     """
     return [
         events.TaskEnded(task.id, task.attempt, event.state, event.result)
@@ -85,7 +86,7 @@
 
 
 def list_broken(record):
-    """Return the members of a broken gang that have to be stopped."""
+    """Return the members of a broken gang that must be stopped."""
     return [
         task
         for task in record.tasks
@@ -94,7 +95,7 @@
 
 
 def _count_fitting(size, room):
-    """Return how many tasks of a size fit into some room."""
+    """Return how many tasks of a size fit into free resources."""
     axes = (
         (size.cpu_milli, room.cpu_milli),
         (size.memory_mb, room.memory_mb),
--- a/packages/scheduler/portwharf/scheduler/decisions/placement.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement.py
@@ -1,15 +1,14 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Where waiting tasks go: the hard limits first, then a score.
+"""Places waiting tasks on VMs, in one pass over the waiting workloads.
 
-A pass goes over the waiting workloads in order of urgency, importance,
-deadline and age, and gives each task the VM with the lowest score among
-those that it fits on. Tasks of one workload are alike, so that the first
-one that fits nowhere settles the rest. Every choice keeps the addends of
-its score and the count of VMs refused by each reason, for ``explain``.
+A pass takes the workloads in the order of ``backlog`` and gives each task the
+VM that ``choosing`` picks. Tasks of one workload are alike, so that the first
+one that fits nowhere ends the workload's turn. Every placement carries the
+decision that ``explain`` shows.
 
-What this module leaves out: the choice of one VM (``choosing``), and when a
-placed task has to move again.
+Moving tasks that are already placed is the business of ``rehoming`` and
+``pressure``.
 """
 
 import dataclasses
@@ -27,7 +26,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Waiting:
-    """Why a workload waits; made into words only for who asks."""
+    """Why a workload waits; :func:`explain_wait` makes a decision of it.
+
+    :param record: its ``state.WorkloadRecord``
+    :param choice: the ``choosing.Choice`` that found no VM, or None
+    """
 
     record: object = None
     reason: str = ''
@@ -36,9 +39,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Placement:
-    """One task's new place and why.
+    """The VM chosen for one task, and why.
 
-    :param ticket: what the policy gave for this place, or ''
+    :param ticket: the policy's ticket for this VM, or ''
     """
 
     task: str = ''
@@ -50,14 +53,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Pass:
-    """What one pass decided.
+    """The result of one pass.
 
     :param ordered: the demands, in the order in which they were served
-    :param waiting: a :class:`Waiting` for each that could not be placed
-    :param hopeless: shapes of tasks that fitted nowhere, with the choice
-        that came to nothing. Room only shrinks during a pass, so that a
-        second task of the shape need not be tried; this keeps a pass over
-        thousands of waiting jobs short.
+    :param placements: a :class:`Placement` for each placed task
+    :param waiting: a :class:`Waiting` for each demand that was not placed
+        in full
+    :param judge: as for :func:`place_demands`
+    :param hopeless: the failed ``choosing.Choice`` by shape of task. Room only
+        shrinks during a pass, so that a second task of the shape is not
+        tried; this keeps a pass over thousands of waiting jobs short.
     """
 
     ordered: list = dataclasses.field(default_factory=list)
@@ -71,37 +76,40 @@
     """Choose a VM for as many waiting tasks as can be placed.
 
     :param demands: list of ``backlog.Demand``
-    :param views: list of ``vmview.VmView``; their ``reserved`` grows
+    :param views: list of ``vmview.VmView``; placed tasks are added to them
     :param quotas: a ``backlog.Quotas``
     :param now_ms: wall time, for the decisions
-    :param judge: function of services, kinds and a kind, that tells whether
-        targets hold and what it costs (``Remedies.judge``), or None
+    :param judge: function that returns whether services keep their targets
+        beside one more task, and at what cost (``Remedies.judge``), or None
     :returns: a :class:`Pass`
     """
-    done = Pass()
-    done.judge = judge
+    result = Pass()
+    result.judge = judge
     borrowers = []
-    done.ordered = backlog.order_demands(demands, now_ms)
-    for demand in done.ordered:
-        known = done.hopeless.get(_find_shape(demand))
-        if known is not None and demand.weight >= known.weight:
-            waiting = Waiting(demand.record, known.reason, known)
-            done.waiting.append(waiting)
-        elif not _place_demand(demand, views, quotas, now_ms, done):
+    result.ordered = backlog.order_demands(demands, now_ms)
+    for demand in result.ordered:
+        failed = result.hopeless.get(_get_shape(demand))
+        if failed is not None and demand.weight >= failed.weight:
+            waiting = Waiting(demand.record, failed.reason, failed)
+            result.waiting.append(waiting)
+        elif not _place_demand(demand, views, quotas, now_ms, result):
             borrowers.append(demand)
-    # What nobody within a quota could use is lent to those over theirs.
+    # Room that no team within its quota could use is lent to the others.
     for demand in borrowers:
         if demand.record.workload.kind == data.Kind.BATCH:
-            _place_demand(demand, views, backlog.Quotas({}, {}), now_ms, done)
-    return done
+            _place_demand(
+                demand, views, backlog.Quotas({}, {}), now_ms, result
+            )
+    return result
 
 
 def check_placeable(workload, views):
-    """Tell whether any known VM could hold a task of a workload.
+    """Check that some known VM could ever hold a task of a workload.
 
-    A worker's room may shrink and grow again: what it has shown once counts.
+    A worker's capacity may shrink and grow again, so that the largest one it
+    has reported counts.
 
-    :returns: None, or the data.Problem that the operator should hear
+    :returns: None, or the ``data.Problem`` to report to the operator
     """
     size = workload.resources
     if not views:
@@ -109,82 +117,82 @@
     if any(size.fits(view.largest) for view in views):
         return None
     if any(view.largest.cpu_milli == 0 for view in views):
-        # Not all have told their capacity yet: too early to say never.
+        # Some workers have not reported their capacity yet.
         return None
-    near = _find_nearest(size, views)
+    nearest = _find_nearest(size, views)
     return data.Problem(
         code=REASON_NEVER,
         field='workload.resources',
         value=describe_resources(size),
         text='no worker of the cluster can ever hold one task',
-        remedy=f'ask for at most {describe_resources(near)}',
+        remedy=f'ask for at most {describe_resources(nearest)}',
     )
 
 
 def describe_resources(size):
-    """Return an amount as text for people."""
+    """Return an amount of resources as text."""
     text = f'{size.cpu_milli / 1000:g} processors, {size.memory_mb} MB'
     if size.accelerators:
         text += f', {size.accelerators} accelerators'
     return text
 
 
-def _place_demand(demand, views, quotas, now_ms, done):
-    """Place a demand's tasks, taking them off its list.
+def _place_demand(demand, views, quotas, now_ms, result):
+    """Place as many of a demand's tasks as possible.
 
-    :returns: False if only its team's quota was in the way
+    :returns: False if only its team's quota prevented more
     """
     workload = demand.record.workload
     if workload.same_rack:
         demand.rack = gangs.pick_rack(demand, views)
     if workload.gang:
-        return _place_gang(demand, views, quotas, now_ms, done)
-    while demand.tasks and len(done.placements) < backlog.MAX_PLACEMENTS:
+        return _place_gang(demand, views, quotas, now_ms, result)
+    while demand.tasks and len(result.placements) < backlog.MAX_PLACEMENTS:
         if not quotas.has_room(workload.team, workload.resources):
-            done.waiting.append(Waiting(demand.record, REASON_QUOTA))
+            result.waiting.append(Waiting(demand.record, REASON_QUOTA))
             return False
-        choice = choosing.choose_vm(demand, views, done.judge)
+        choice = choosing.choose_vm(demand, views, result.judge)
         if choice.view is None:
-            shape = _find_shape(demand)
+            shape = _get_shape(demand)
             if shape is not None:
-                done.hopeless[shape] = choice
+                result.hopeless[shape] = choice
             waiting = Waiting(demand.record, choice.reason, choice)
-            done.waiting.append(waiting)
+            result.waiting.append(waiting)
             return True
         quotas.reserve(workload.team, workload.resources)
-        choosing.count_placed(demand, choice.view)
-        _take(demand, choice, now_ms, done)
+        choosing.count_placement(demand, choice.view)
+        _record_placement(demand, choice, now_ms, result)
     return True
 
 
-def _place_gang(demand, views, quotas, now_ms, done):
+def _place_gang(demand, views, quotas, now_ms, result):
     """Place all tasks of a gang, or none.
 
-    :returns: False if only its team's quota was in the way
+    :returns: False if only its team's quota prevented it
     """
     workload = demand.record.workload
     if not demand.tasks:
         return True
-    whole = gangs.sum_sizes(workload)
-    if not quotas.has_room(workload.team, whole):
-        done.waiting.append(Waiting(demand.record, REASON_QUOTA))
+    size = gangs.sum_sizes(workload)
+    if not quotas.has_room(workload.team, size):
+        result.waiting.append(Waiting(demand.record, REASON_QUOTA))
         return False
-    choices = gangs.choose_all(demand, views, done.judge)
+    choices = gangs.choose_vms(demand, views, result.judge)
     failed = choices[-1]
     if failed.view is None:
         waiting = Waiting(demand.record, failed.reason, failed)
-        done.waiting.append(waiting)
+        result.waiting.append(waiting)
         return True
-    quotas.reserve(workload.team, whole)
-    rows = {view.vm.name: view for view in views}
+    quotas.reserve(workload.team, size)
+    by_name = {view.vm.name: view for view in views}
     for choice in choices:
-        choosing.count_placed(demand, rows[choice.view.vm.name])
-        _take(demand, choice, now_ms, done)
+        choosing.count_placement(demand, by_name[choice.view.vm.name])
+        _record_placement(demand, choice, now_ms, result)
     return True
 
 
-def _take(demand, choice, now_ms, done):
-    """Note that a demand's next task goes where a choice says."""
+def _record_placement(demand, choice, now_ms, result):
+    """Add the placement of a demand's next task to the result."""
     task = demand.tasks.pop(0)
     attempt = demand.attempts.pop(0)
     name = choice.view.vm.name
@@ -197,13 +205,16 @@
         choice.parts,
     )
     ticket = demand.tickets.get(name, '')
-    done.placements.append(Placement(task, attempt, name, decision, ticket))
+    result.placements.append(Placement(task, attempt, name, decision, ticket))
 
 
-def _find_shape(demand):
-    """Return what decides where a batch task fits, or None."""
+def _get_shape(demand):
+    """Return a key that is equal for batch tasks that fit on the same VMs.
+
+    :returns: None if the task's fit depends on more than such a key
+    """
     workload = demand.record.workload
-    if workload.kind != data.Kind.BATCH or demand.avoided or demand.shuns:
+    if workload.kind != data.Kind.BATCH or demand.avoided or demand.shunned_vm:
         return None
     if workload.most_per_vm or workload.gang or workload.ticket_ms:
         return None
@@ -224,7 +235,7 @@
 
 
 def explain_wait(waiting, now_ms):
-    """Return the decision that says why a workload waits."""
+    """Return the ``events.Decision`` that explains why a workload waits."""
     workload = waiting.record.workload
     if waiting.reason == REASON_QUOTA:
         return events.Decision(
@@ -246,10 +257,10 @@
 
 
 def _find_nearest(size, views):
-    """Return the largest size like ``size`` that some VM could hold."""
+    """Return ``size`` cut down to the VM that could hold most of it."""
     best = max(
         (view.capacity for view in views),
-        key=lambda capacity: _share(capacity, size),
+        key=lambda capacity: _sum_coverage(capacity, size),
     )
     return data.Resources(
         min(size.cpu_milli, best.cpu_milli),
@@ -258,8 +269,8 @@
     )
 
 
-def _share(capacity, size):
-    """Return the share of a size that a capacity covers, 0 to 3."""
+def _sum_coverage(capacity, size):
+    """Return the sum of a size's shares that a capacity covers, 0 to 3."""
     return (
         min(1.0, capacity.cpu_milli / max(1, size.cpu_milli))
         + min(1.0, capacity.memory_mb / max(1, size.memory_mb))
--- a/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
@@ -153,7 +153,7 @@
     case.assertEqual(vms.count('vm-01'), 1)
     decision = placement.explain_wait(done.waiting[0], NOW_MS)
     refusals = {one.name for one in decision.refusals}
-    case.assertIn(choosing.REFUSED_SLOWS, refusals)
+    case.assertIn(choosing.REFUSED_SLOWS_SERVICE, refusals)
 
 
 def test_waiting_adds_importance_up_to_a_limit(case):
--- a/packages/scheduler/portwharf/scheduler/decisions/planning.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/planning.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What an owner works out from its state at each pass, without acting.
+"""Derives an owner's decisions from the shard's state, without side effects.
 
-Between the shard's state and ``decisions.placement``, which knows neither the
-log nor members.
+Lists the demands for ``placement``, finds what has expired or is over quota,
+and builds the decisions that ``explain`` shows. The owner applies the results.
 """
 
 import collections
@@ -14,18 +14,17 @@
 from portwharf.scheduler.decisions import precedence
 from portwharf.scheduler import events
 
-# Ended workloads are listed for this long.
+# Ended workloads and jobs are kept for this long.
 KEEP_ENDED_SECONDS = 24 * 3600
-# Ended workloads beyond this number go earlier, the oldest first.
+# Ended ones beyond this number are dropped earlier, the oldest first.
 MAX_ENDED = 2000
-# A step of a job of which nothing runs waits this long at the most for a VM
-# that suits it, while others have room: working slowly is better than not
-# at all.
-PATIENCE_SECONDS = 1.5
-# One that has begun waits so long for its other tasks: where they hardly
-# work they would hold it up for longer than the room that comes up next.
+# How long a step with no placed task waits for a VM that suits it while others
+# have room: a slow start is better than none.
+FIRST_PATIENCE_SECONDS = 1.5
+# The same for the remaining tasks of a step that has some placed: a task on a
+# slow VM would delay the step for longer than waiting for a better one.
 REST_PATIENCE_SECONDS = 8.0
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 REASON_LOST = 'vm-lost'
 REASON_LEAVING = 'vm-is-leaving'
@@ -34,30 +33,33 @@
 
 
 class Patience:
-    """How long steps of jobs have waited for a place that suits them."""
+    """Tracks how long steps of jobs have waited for a VM that suits them."""
 
     def __init__(self):
         self._since = {}
 
     def note(self, waiting, now):
-        """Take the ids of what waits after a pass."""
+        """Record the ids of the workloads that wait after a pass."""
         self._since = {name: self._since.get(name, now) for name in waiting}
 
     def apply(self, demands, now):
-        """Let those that have waited for long go wherever there is room."""
+        """Let demands that have waited long enough accept any VM with room."""
         for demand in demands:
             waited = now - self._since.get(demand.record.id, now)
-            if not demand.record.workload.job or waited <= PATIENCE_SECONDS:
+            if (
+                not demand.record.workload.job
+                or waited <= FIRST_PATIENCE_SECONDS
+            ):
                 continue
             if not demand.placed or waited > REST_PATIENCE_SECONDS:
                 demand.take_any()
 
 
 def plan(state, demands, views, quotas, now_ms, judge=None):
-    """Choose places for waiting tasks.
+    """Place waiting tasks within the teams' quotas.
 
-    :param demands: what :func:`list_demands` gave
-    :param views: list of ``vmview.VmView``; their ``reserved`` changes
+    :param demands: as :func:`list_demands` returns them
+    :param views: list of ``vmview.VmView``; placed tasks are added to them
     :param quotas: map of team to Resources
     :param judge: as for ``placement.place_demands``
     :returns: a ``placement.Pass``
@@ -69,10 +71,10 @@
 
 
 def list_demands(state, list_avoided, now_ms, runtimes=None):
-    """Return what waits to be placed, as ``backlog.Demand`` values.
+    """Return a ``backlog.Demand`` for each workload with waiting tasks.
 
-    :param list_avoided: function from a workload's id to the names of VMs
-        that it keeps away from
+    :param list_avoided: function from a workload's id to the names of the VMs
+        that it avoids
     :param runtimes: a ``forecast.RunTimes``; clients' estimates, if None
     """
     ready = [
@@ -95,7 +97,7 @@
 
 
 def sum_by_team(state):
-    """Return what each team has reserved, by team."""
+    """Return a map of team to the Resources that it has reserved."""
     used = collections.defaultdict(data.Resources)
     for held in state.held.values():
         for task_id in held:
@@ -105,7 +107,7 @@
 
 
 def explain_loss(task, vm, now_ms):
-    """Return the decision to run a silent VM's task again."""
+    """Return the decision to run a task again whose VM is lost."""
     return events.Decision(
         now_ms,
         REASON_LOST,
@@ -117,8 +119,8 @@
 
 
 def explain_crasher(task, now_ms):
-    """Return the decision to give up a task that crashes its workers."""
-    names = ', '.join(one.name for one in task.crashes)
+    """Return the decision to give up a task that crashes workers."""
+    names = ', '.join(crash.name for crash in task.crashes)
     return events.Decision(
         now_ms,
         REASON_CRASHES,
@@ -141,7 +143,10 @@
 
 
 def explain_throttling(task, action, now_ms):
-    """Return the decision to throttle a task, or to let it run in full."""
+    """Return the decision to throttle a task, or to release it.
+
+    :param action: a ``remedies.Action``
+    """
     return events.Decision(
         now_ms,
         action.reason,
@@ -153,7 +158,7 @@
 
 
 def find_over_quota(state, quotas):
-    """Return the names of the teams that have more than their quota."""
+    """Return the names of the teams that exceed their quotas."""
     return {
         team
         for team, used in sum_by_team(state).items()
@@ -162,7 +167,7 @@
 
 
 def find_old(state, now_ms):
-    """Return the ids of ended workloads that are not kept any longer."""
+    """Return the ids of the ended workloads to drop from the state."""
     ended = [
         record
         for record in state.workloads.values()
@@ -170,7 +175,7 @@
     ]
     ended.sort(key=lambda record: record.unix_ms)
     surplus = max(0, len(ended) - MAX_ENDED)
-    limit = now_ms - KEEP_ENDED_SECONDS * _MS
+    limit = now_ms - KEEP_ENDED_SECONDS * _MS_PER_SECOND
     return [
         record.id
         for number, record in enumerate(ended)
@@ -179,7 +184,7 @@
 
 
 def find_old_jobs(state, now_ms):
-    """Return the ids of ended jobs that are not kept any longer."""
+    """Return the ids of the ended jobs to drop from the state."""
     ended = [
         record
         for record in state.jobs.values()
@@ -187,7 +192,7 @@
         and all(state.has_ended(state.workloads[n]) for n in record.steps)
     ]
     surplus = max(0, len(ended) - MAX_ENDED)
-    limit = now_ms - KEEP_ENDED_SECONDS * _MS
+    limit = now_ms - KEEP_ENDED_SECONDS * _MS_PER_SECOND
     return [
         record.job.id
         for number, record in enumerate(ended)
@@ -203,16 +208,16 @@
 
 
 def is_same_place(one, other):
-    """Tell whether two entries of a VM name one address."""
+    """Return whether two entries of a VM have the same address."""
     return (one.address, one.port) == (other.address, other.port)
 
 
 def _has_waiting(record):
-    """Tell whether a workload has tasks that wait to be placed."""
+    """Return whether a workload has tasks that wait to be placed."""
     if record.cancelled:
         return False
     if record.workload.gang and any(task.vm for task in record.tasks):
-        # All members have to be there for the next attempt.
+        # The next attempt needs all members to have ended.
         return False
     limit = record.workload.count
     if record.begun < limit:
--- a/packages/scheduler/portwharf/scheduler/decisions/precedence_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/precedence_test.py
@@ -57,4 +57,4 @@
     # In time it is until the step should have ended, and late after that.
     case.assertEqual(precedence.Weigher(made, NOW + 9000).weigh(record), 30.0)
     late = precedence.Weigher(made, NOW + 9001).weigh(record)
-    case.assertEqual(late, 30.0 * precedence.LATE_WEIGHT)
+    case.assertEqual(late, 30.0 * precedence.LATE_PENALTY)
--- a/packages/scheduler/portwharf/scheduler/decisions/pressure.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/pressure.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""How services and batch work press on each other, under one owner.
+"""Protects services from batch work, and evicts tasks for more important work.
 
-Brings together what sides measure, what the model has learnt of it, and
-the remedies; and finds who has to make room for work that matters more.
-All of it is the present owner's own knowledge: the next owner learns anew,
-within some minutes, and cautiously until then.
+Feeds the sides' measurements into the interference model, applies the remedies
+that it calls for, and selects the tasks to evict for waiting work that is more
+important. The state lives in the owner's memory: a new owner learns it anew
+within minutes, and is cautious until then.
 """
 
 import collections
@@ -15,83 +15,102 @@
 from portwharf.scheduler.decisions import interference
 from portwharf.scheduler.decisions import remedies
 
-# Less important work makes room only for work that matters more by this.
+# A batch task is evicted only for work that is this much more important.
 IMPORTANCE_MARGIN = 200
-# A measurement of fewer requests says too little.
+# A measurement of fewer requests is not learnt from.
 MIN_REQUESTS = 5
-# Measurements of a replica older than this no longer speak for it.
+# Older measurements of a replica are ignored.
 STALE_SECONDS = 60.0
 REASON_ROOM = 'makes-room'
-_URGENT_BELOW = 10_000
-_MS = 1000
+# Higher than any importance.
+_ABOVE_ANY_IMPORTANCE = 10_000
+_MS_PER_SECOND = 1000
 
 
 class Pressure:
-    """What one owner knows of the VMs of its shard."""
+    """Tracks services and batch work on the VMs of one shard.
+
+    ``now`` is the owner's monotonic clock, in seconds.
+    """
 
     def __init__(self, state, began):
-        """Take the shard's state and the owner's clock at its beginning."""
+        """Take the shard's ``state.ShardState``.
+
+        :param began: when the owner began, on its monotonic clock
+        """
         self._state = state
         self._began = began
         self.model = interference.Model()
         self.remedies = remedies.Remedies(self.model)
         self._timeline = interference.Timeline()
         self._peaks = remedies.Peaks()
-        self._views = collections.defaultdict(dict)
-        self._measured = {}
-        self._begun = {}
-        # Attempts that were told to work at less, and those that surely
-        # work in full: what is in neither may be at less, by the order of
-        # a former owner, or for want of a release that was lost.
+        self._service_views = collections.defaultdict(dict)
+        self._measured_at = {}
+        self._placed_at = {}
+        # Attempts that are throttled, and those that surely are not. One in
+        # neither set may be throttled: by a former owner, or because its
+        # release was lost.
         self._throttled = set()
-        self._full = set()
+        self._unthrottled = set()
 
     def note_begun(self, task, now):
-        """Note that an attempt has been placed."""
-        self._begun[task] = now
-        self._full.add(task)
+        """Record that an attempt was placed.
+
+        :param task: task id and attempt number
+        """
+        self._placed_at[task] = now
+        self._unthrottled.add(task)
 
     def note_lost(self, vm):
-        """Note that orders to a VM may have been lost."""
+        """Record that commands to a VM may have been lost."""
         held = self._state.held[vm].values()
         names = {(task.id, task.attempt) for task in held}
         self._throttled -= names
-        self._full -= names
+        self._unthrottled -= names
 
     def read_begun(self, name):
-        """Return when an attempt was placed, as far as this owner knows."""
-        return self._begun.get(name, self._began)
+        """Return when an attempt was placed, or else when the owner began.
+
+        :param name: task id and attempt number
+        """
+        return self._placed_at.get(name, self._began)
 
     def note_measures(self, vm, measures, targets, now):
-        """Take what a side has measured of its services.
+        """Record a side's measurements of its services.
 
         :param measures: list of ``messages.ServiceMeasure``
         :param targets: map of service to ``configuration.Target``
         """
-        for one in measures:
-            target = targets.get(one.service)
-            seconds = target.ms / _MS if target else 0.0
-            peak = self._peaks.note((vm, one.service), one.load, now)
-            self._views[vm][one.service] = remedies.ServiceView(
-                one.service, one.load, peak, seconds
+        for measure in measures:
+            target = targets.get(measure.service)
+            target_seconds = target.ms / _MS_PER_SECOND if target else 0.0
+            peak = self._peaks.note((vm, measure.service), measure.load, now)
+            self._service_views[vm][measure.service] = remedies.ServiceView(
+                measure.service, measure.load, peak, target_seconds
             )
-            self._measured[(vm, one.service)] = now
-            if one.count < MIN_REQUESTS:
+            self._measured_at[(vm, measure.service)] = now
+            if measure.count < MIN_REQUESTS:
                 continue
-            kinds = self._timeline.find(vm, now - one.age_ms / _MS)
-            mean = one.mean_us / 1e6
+            kinds = self._timeline.find(
+                vm, now - measure.age_ms / _MS_PER_SECOND
+            )
+            mean_seconds = measure.mean_us / 1e6
             if kinds is not None:
-                self.model.observe(one.service, one.load, kinds, mean)
-            self.remedies.note_measured(vm, one.service, mean, seconds)
+                self.model.observe(
+                    measure.service, measure.load, kinds, mean_seconds
+                )
+            self.remedies.note_measured(
+                vm, measure.service, mean_seconds, target_seconds
+            )
 
     def note_running(self, now):
-        """Note what runs beside services, for late measurements."""
-        for vm in self._views:
+        """Record what runs beside services, for measurements to come."""
+        for vm in self._service_views:
             kinds = remedies.count_kinds(self.list_neighbours(vm, now))
             self._timeline.note(vm, kinds, now)
 
     def fill_views(self, views, now):
-        """Add to placement's views what runs on each VM."""
+        """Set the services and kinds of batch work of placement's views."""
         for view in views:
             name = view.vm.name
             view.services = self._list_services(name, now)
@@ -101,7 +120,11 @@
                 view.kinds = remedies.count_kinds(neighbours)
 
     def list_neighbours(self, vm, now):
-        """Return the batch tasks that run on a VM."""
+        """Return the batch tasks on a VM, as ``remedies.Neighbour``.
+
+        Members of gangs are left out, as they are neither throttled nor
+        evicted singly.
+        """
         found = []
         for task in self._state.held[vm].values():
             workload = self._state.find_workload(task.id).workload
@@ -110,34 +133,34 @@
             if task.state != data.TaskState.PLACED or workload.gang:
                 continue
             name = (task.id, task.attempt)
-            began = self._begun.get(name, self._began)
+            began = self._placed_at.get(name, self._began)
             found.append(
                 remedies.Neighbour(
                     task.id,
-                    backlog.find_kind(workload),
+                    backlog.get_interference_kind(workload),
                     now - began,
                     workload.importance,
                     task.evictions,
                     workload.checkpointable,
                     name in self._throttled,
-                    self._is_unsure(name, workload),
+                    self._may_be_throttled(name, workload),
                     workload.resources,
                 )
             )
         return found
 
-    def _is_unsure(self, name, workload):
-        """Tell whether an attempt may have been told to work at less.
+    def _may_be_throttled(self, name, workload):
+        """Return whether an attempt may be throttled without being known to.
 
-        What fills is paced by its side, which nobody else may undo.
+        Filling tasks are left out: their side alone controls their pace.
         """
-        known = name in self._throttled or name in self._full
+        known = name in self._throttled or name in self._unthrottled
         return not known and not workload.fills
 
     def find_actions(self, now):
-        """Return the remedies that are due."""
+        """Return the remedies that are due, as ``remedies.Action``."""
         actions = []
-        for vm in list(self._views):
+        for vm in list(self._service_views):
             services = self._list_services(vm, now)
             neighbours = self.list_neighbours(vm, now)
             action = self.remedies.find_action(
@@ -149,54 +172,56 @@
         return actions
 
     def find_room(self, demands, views, over_quota, now):
-        """Return evictions that make room for work that matters more.
+        """Return evictions that make room for more important work.
 
-        Urgent work has everything that is not urgent make room; services
-        and important batch work what matters less by a margin, and teams
-        within their quota the work of those over theirs.
+        Urgent work and services displace any batch work that is not urgent;
+        other batch work displaces what is less important by a margin, or
+        belongs to a team over its quota.
 
-        :param demands: what still waits after a pass, in order
+        :param demands: the demands of a pass, in order
         :param views: the VMs as the pass has left them
         :param over_quota: names of the teams over their quotas
         """
         actions = []
-        # Work that may have to give way, by VM, and the wants for which
-        # that came to nothing: thousands of jobs may want the same.
-        movable = self._list_movable(views, over_quota, now)
-        fruitless = set()
+        # Shapes of requests for which no room can be made, as thousands of
+        # jobs may request the same.
+        evictable = self._list_evictable(views, over_quota, now)
+        failed_shapes = set()
         for demand in demands:
             workload = demand.record.workload
             if workload.team in over_quota and not workload.urgent:
                 continue
             if actions and not workload.urgent:
-                # One at a time: what the first frees may serve the next.
+                # One demand per pass: the freed room may do for the next.
                 continue
-            want = _find_want(demand)
-            if want in fruitless or not demand.tasks:
+            shape = _get_request_shape(demand)
+            if shape in failed_shapes or not demand.tasks:
                 continue
-            made = self._make_room(demand, views, movable, now)
-            if not made and want is not None:
-                fruitless.add(want)
-            actions += made
+            evictions = self._make_room(demand, views, evictable, now)
+            if not evictions and shape is not None:
+                failed_shapes.add(shape)
+            actions += evictions
         return actions
 
     def forget_ended(self):
-        """Forget attempts that have ended."""
+        """Drop what is known of attempts that have ended."""
         live = {
             (task.id, task.attempt)
             for held in self._state.held.values()
             for task in held.values()
         }
         self._throttled &= live
-        self._full &= live
-        self._begun = {
-            name: began for name, began in self._begun.items() if name in live
+        self._unthrottled &= live
+        self._placed_at = {
+            name: began
+            for name, began in self._placed_at.items()
+            if name in live
         }
 
-    def _make_room(self, demand, views, movable, now):
-        """Return the evictions on the cheapest VM for one waiting task."""
+    def _make_room(self, demand, views, evictable, now):
+        """Return the evictions for one waiting task, on the cheapest VM."""
         workload = demand.record.workload
-        best, least = [], float('inf')
+        cheapest, lowest = [], float('inf')
         for view in views:
             if view.closed or view.vm.name in demand.avoided:
                 continue
@@ -205,45 +230,54 @@
             chosen = remedies.pick_to_make_room(
                 workload.resources,
                 view.room,
-                movable[view.vm.name],
-                _find_limit(workload),
+                evictable[view.vm.name],
+                _get_importance_limit(workload),
+            )
+            cost = sum(
+                remedies.compute_cost(neighbour) for neighbour in chosen
             )
-            cost = sum(remedies.compute_cost(one) for one in chosen)
-            if chosen and cost < least:
-                best, least = [(one, view.vm.name) for one in chosen], cost
-        if not best:
+            if chosen and cost < lowest:
+                cheapest, lowest = (
+                    [(neighbour, view.vm.name) for neighbour in chosen],
+                    cost,
+                )
+        if not cheapest:
             return []
         if not workload.urgent and not self.remedies.brake.take(now):
             return []
-        return [remedies.Action(one.task, vm, REASON_ROOM) for one, vm in best]
+        return [
+            remedies.Action(neighbour.task, vm, REASON_ROOM)
+            for neighbour, vm in cheapest
+        ]
 
     def _has_replica(self, demand, view):
-        service = demand.record.workload.kind == data.Kind.SERVICE
-        return service and demand.placed[view.vm.name] > 0
+        is_service = demand.record.workload.kind == data.Kind.SERVICE
+        return is_service and demand.placed[view.vm.name] > 0
 
-    def _list_movable(self, views, over_quota, now):
-        """Return the tasks on each VM that are not urgent, by VM.
+    def _list_evictable(self, views, over_quota, now):
+        """Return the batch tasks that may be evicted, by VM name.
 
-        Those of teams over their quota count as the least important.
+        Urgent tasks are left out; those of teams over their quota get the
+        least importance.
         """
-        movable = {}
+        evictable = {}
         for view in views:
-            found = movable[view.vm.name] = []
-            for one in self.list_neighbours(view.vm.name, now):
-                workload = self._state.find_workload(one.task).workload
+            found = evictable[view.vm.name] = []
+            for neighbour in self.list_neighbours(view.vm.name, now):
+                workload = self._state.find_workload(neighbour.task).workload
                 if workload.urgent:
                     continue
                 if workload.team in over_quota:
-                    one.importance = -1
-                found.append(one)
-        return movable
+                    neighbour.importance = -1
+                found.append(neighbour)
+        return evictable
 
     def _list_services(self, vm, now):
-        """Return the services that were measured on a VM lately."""
+        """Return the ``ServiceView`` of services measured lately on a VM."""
         return [
             view
-            for service, view in self._views[vm].items()
-            if now - self._measured[(vm, service)] < STALE_SECONDS
+            for service, view in self._service_views[vm].items()
+            if now - self._measured_at[(vm, service)] < STALE_SECONDS
         ]
 
     def _note_throttled(self, action):
@@ -251,21 +285,24 @@
         name = (task.id, task.attempt)
         if 0 < action.percent < 100:
             self._throttled.add(name)
-            self._full.discard(name)
+            self._unthrottled.discard(name)
         else:
             self._throttled.discard(name)
-            self._full.add(name)
+            self._unthrottled.add(name)
 
 
-def _find_limit(workload):
-    """Return the importance below which work gives way to a workload."""
+def _get_importance_limit(workload):
+    """Return the importance below which a workload displaces tasks."""
     if workload.urgent or workload.kind == data.Kind.SERVICE:
-        return _URGENT_BELOW
+        return _ABOVE_ANY_IMPORTANCE
     return max(0, workload.importance - IMPORTANCE_MARGIN)
 
 
-def _find_want(demand):
-    """Return what decides who gives way to a batch demand, or None."""
+def _get_request_shape(demand):
+    """Return a key that is equal for batch demands needing equal evictions.
+
+    :returns: None if they depend on more than such a key
+    """
     workload = demand.record.workload
     if workload.kind != data.Kind.BATCH or demand.avoided:
         return None
@@ -275,5 +312,5 @@
         size.memory_mb,
         size.accelerators,
         workload.urgent,
-        _find_limit(workload),
+        _get_importance_limit(workload),
     )
--- a/packages/scheduler/portwharf/scheduler/decisions/rehoming.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/rehoming.py
@@ -1,12 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Moves filling tasks that hardly work to VMs where they would.
-
-A task that presses on what serves beside it is paced down to almost
-nothing. It holds its memory, its job waits for it, and it would have been
-done elsewhere. Once another VM would have it end sooner, with what the move
-costs, it is saved and stopped, and placed anew like any other but not where
-it came from. One that saves nothing begins again from nothing.
+"""Moves filling tasks that make little progress to VMs where they would.
+
+A filling task (``Workload.fills``) that slows the serving tasks beside it is
+slowed down itself, to almost no progress, while it holds memory and its job
+waits for it. Such a task is called stuck. Once it would end sooner on another
+VM, the cost of the move included, it is checkpointed, stopped and placed like
+any other, except on the VM that it came from. A task without checkpoints
+starts again from the beginning.
 """
 
 import dataclasses
@@ -15,88 +16,87 @@
 from portwharf.scheduler.decisions import precedence
 
 REASON_STUCK = 'hardly-works-there'
-# A task paced to this percent or less is worth moving.
-STUCK_PERCENT = 30
-# It has to be at work for so long: it may just have begun, and what it is
-# paced by may be a swing of the load.
+# A task at this pace or less, in percent, is stuck.
+MAX_STUCK_PERCENT = 30
+# Least time since the attempt was placed: its pace settles first, and a short
+# peak of the load may pass.
 LEAST_SECONDS = 1.2
-# Where it goes it has to work at this share at least.
-WORTH_PACE = 0.8
-# What a move takes, in ms: the stop (0.2 to 0.9 s on the platforms known),
-# the log, and going on from what was saved (0.1 to 0.25 s).
-MOVE_MS = 1200
-# It has to end there in this share of the time that it would take here: what
-# it is paced by here changes within seconds, either way.
-WORTH_SHARE = 0.6
-# What a task without an estimate is taken to run, in ms: the mean of what
-# fills on the platforms known.
-UNKNOWN_RUN_MS = 4500
-# How long a task that was moved keeps away from where it came from.
+# Least pace, 0 to 1, that a move must give.
+MIN_DESTINATION_PACE = 0.8
+# Duration of a move: the stop, the log entry, and the start from a checkpoint.
+MOVE_COST_MS = 1200
+# A move must cut the remaining time to less than this share, as the pace on
+# the present VM may recover within seconds.
+MAX_TIME_SHARE = 0.6
+# Run time of a task without an estimate.
+DEFAULT_RUN_MS = 4500
+# How long a moved task is not placed on the VM that it came from.
 SHUN_SECONDS = 10.0
-# Moves in one pass: what they show is seen before the next.
-MAX_MOVES = 4
+# Bounded, so that the effect of the moves is seen before the next pass.
+MAX_MOVES_PER_PASS = 4
 
 
 @dataclasses.dataclass(slots=True)
 class Stuck:
-    """A task that hardly works, and its workload.
+    """A task that makes little progress, and its workload.
 
-    :param percent: the share that it is told to work at
-    :param done: how much of it is done, in percent
-    :param weight: what its job counts, by ``precedence``
+    :param percent: the pace that its side allows it, in percent
+    :param done: its progress, in percent
+    :param weight: its job's weight, as ``precedence.Claim.weigh`` returns it
     """
 
     task: object = None
     workload: object = None
     percent: int = 0
     done: int = 0
-    weight: float = precedence.LAST
+    weight: float = precedence.LAST_WEIGHT
 
     @property
     def run_ms(self):
-        """How long it runs in all, as far as that is known."""
-        return self.workload.run_ms or UNKNOWN_RUN_MS
+        """Its estimated whole run time at full pace, in ms."""
+        return self.workload.run_ms or DEFAULT_RUN_MS
 
     @property
-    def left_here_ms(self):
-        """How long it would still take where it is."""
+    def remaining_here_ms(self):
+        """Its estimated remaining time at its present pace, in ms."""
         left = (100 - self.done) / max(1, self.percent)
         return left * self.run_ms
 
-    def measure_there(self, pace):
-        """Return how long it would take elsewhere, in ms.
+    def estimate_elsewhere_ms(self, pace):
+        """Return its estimated remaining time after a move, in ms.
 
-        :param pace: the share, 0 to 1, that it would work at there
+        :param pace: its pace on the other VM, 0 to 1
         """
         kept = self.done if self.workload.checkpointable else 0
         left = (100 - kept) / 100 / pace
-        return MOVE_MS + left * self.run_ms
+        return MOVE_COST_MS + left * self.run_ms
 
 
 class Shunned:
-    """Where tasks were moved from, for as long as they keep away."""
+    """Tracks the VMs that moved tasks must not return to yet."""
 
     def __init__(self):
         self._moved = {}
 
     def note(self, task, vm, now):
-        """Note that a task is moved away from a VM."""
+        """Record that a task is moved away from a VM."""
         self._moved[task] = (vm, now + SHUN_SECONDS)
 
     def find(self, now):
-        """Return the names of the VMs that tasks shun, by task id."""
+        """Return the VMs that tasks must not return to yet, by task id."""
         self._moved = {
-            task: one for task, one in self._moved.items() if now < one[1]
+            task: move for task, move in self._moved.items() if now < move[1]
         }
         return {task: vm for task, (vm, _) in self._moved.items()}
 
 
 def find_stuck(state, links, read_begun, now, weigher=None):
-    """Return the filling tasks that hardly work, the worst first.
+    """Return the stuck filling tasks, the slowest first.
 
     :param links: list of ``members.MemberLink``
-    :param read_begun: gives when an attempt began, by (task, attempt)
-    :param weigher: a ``precedence.Weigher``, or None if nothing yields
+    :param read_begun: function from (task id, attempt) to when it was placed
+    :param weigher: a ``precedence.Weigher``; without one all tasks rank last
+    :returns: list of :class:`Stuck`
     """
     found = []
     for link in links:
@@ -107,57 +107,71 @@
                 continue
             if task.state != data.TaskState.PLACED:
                 continue
-            spent = now - read_begun((task.id, task.attempt))
-            if paced.percent > STUCK_PERCENT or spent < LEAST_SECONDS:
+            running_seconds = now - read_begun((task.id, task.attempt))
+            if (
+                paced.percent > MAX_STUCK_PERCENT
+                or running_seconds < LEAST_SECONDS
+            ):
                 continue
             record = state.find_workload(task.id)
             if record.workload.gang:
-                # To move one is to stop all the others.
+                # Moving one member would stop all the others.
                 continue
-            weight = weigher.weigh(record) if weigher else precedence.LAST
+            weight = (
+                weigher.weigh(record) if weigher else precedence.LAST_WEIGHT
+            )
             found.append(
                 Stuck(task, record.workload, paced.percent, paced.done, weight)
             )
-    found.sort(key=lambda one: one.percent)
+    found.sort(key=lambda task: task.percent)
     return found
 
 
 def choose_moves(stuck, views):
-    """Return the tasks that have somewhere better to go.
+    """Return the stuck tasks to move, as ``state`` tasks.
 
     :param stuck: list of :class:`Stuck`
-    :param views: list of ``vmview.VmView`` after a pass; what is chosen
-        is counted on them
+    :param views: list of ``vmview.VmView`` after a pass; the chosen tasks are
+        added to them
     """
     chosen = []
     for one in stuck:
-        if len(chosen) >= MAX_MOVES:
+        if len(chosen) >= MAX_MOVES_PER_PASS:
             break
-        best = _find_better(one, views)
-        if best is not None:
-            best.add_task(one.workload, one.weight)
+        destination = _find_destination(one, views)
+        if destination is not None:
+            destination.add_task(one.workload, one.weight)
             chosen.append(one.task)
     return chosen
 
 
-def _find_better(one, views):
-    """Return the view where a stuck task would work best, or None."""
+def _find_destination(one, views):
+    """Return the view that gives a stuck task the best pace, or None."""
     workload = one.workload
-    best, most = None, 0.0
+    best, best_pace = None, 0.0
     for view in views:
-        room = view.capacity.cpu_milli - view.busy_milli
+        idle_milli = view.capacity.cpu_milli - view.busy_milli
         if view.closed or view.suspects or view.vm.name == one.task.vm:
             continue
         if not workload.reserved.fits(view.room):
             continue
-        if workload.resources.cpu_milli > room or not view.suits(workload):
+        if workload.resources.cpu_milli > idle_milli or not view.suits(
+            workload
+        ):
             continue
         pace = view.predict_pace(workload, one.weight)
-        if pace >= WORTH_PACE and pace > most and _is_worth(one, pace):
-            best, most = view, pace
+        if (
+            pace >= MIN_DESTINATION_PACE
+            and pace > best_pace
+            and _is_worthwhile(one, pace)
+        ):
+            best, best_pace = view, pace
     return best
 
 
-def _is_worth(one, pace):
-    """Tell whether a stuck task ends enough sooner elsewhere."""
-    return one.measure_there(pace) < WORTH_SHARE * one.left_here_ms
+def _is_worthwhile(one, pace):
+    """Return whether a move makes a stuck task end sufficiently sooner."""
+    return (
+        one.estimate_elsewhere_ms(pace)
+        < MAX_TIME_SHARE * one.remaining_here_ms
+    )
--- a/packages/scheduler/portwharf/scheduler/decisions/scoring.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/scoring.py
@@ -1,10 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""How well a VM suits a task that fits on it: addends of a score.
+"""Scores how well a VM suits a task that fits on it.
 
-The lowest sum wins. Ordinary batch work goes where most is free; services
-are spread over racks and zones; what serves within a job is packed, and
-what fills goes where it would be paced the least.
+A score is a sum of named addends, and the lowest sum wins. Batch work goes to
+the emptiest VM, and services are spread over racks and zones. Jobs' serving
+tasks (``Workload.target_ms``) are packed on few VMs, and their filling tasks
+(``Workload.fills``) go where they would be slowed down the least.
 """
 
 import collections
@@ -13,36 +14,35 @@
 from portwharf.core import data
 from portwharf.scheduler import events
 
-# What a busy VM counts against one with a free processor.
-_BUSY = 1.0
-_FAR_RACK = 2.0
-# What working at no pace counts against one with a free processor.
-_PACE = 3.0
-# What a VM that nothing serves on is worth: to what serves, and to other
-# work that is better off beside what serves.
-_KEEP_CLEAR = 3.0
-_CLEAR = 0.4
-_LARGEST_MILLI = 1_000_000
-# What fills is gone within seconds; what serves stays.
-_FILLED = 0.05
-_STRANDED_ACCELERATOR = 4.0
-_SAME_RACK = 0.5
-_SAME_ZONE = 0.25
-_SAME_VM = 4.0
-# What may crash its worker is kept from what serves, and others from it: more
-# than an even fill, less than what it takes to be placed at all.
-_SUSPECT = 2.0
+# Weights and penalties, relative to the fill of a VM, which counts 0 to 1.
+_BUSY_WEIGHT = 1.0
+_FAR_RACK_PENALTY = 2.0
+_SLOWDOWN_WEIGHT = 3.0
+# For using a VM without serving tasks, which is best left to filling tasks:
+# by a serving task, and by other work of jobs.
+_OPEN_VM_PENALTY = 3.0
+_CLEAR_VM_PENALTY = 0.4
+_SIZE_SCALE_MILLI = 1_000_000
+# Small, as filling tasks end within seconds while serving tasks stay.
+_FILLED_WEIGHT = 0.05
+_STRANDED_WEIGHT = 4.0
+_SAME_RACK_PENALTY = 0.5
+_SAME_ZONE_PENALTY = 0.25
+_SAME_VM_PENALTY = 4.0
+# For a crash suspect beside serving tasks, and for others beside a suspect.
+_SUSPECT_PENALTY = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Spread:
-    """How many tasks of a workload are in each rack and zone."""
+    """Number of a workload's tasks in each rack and zone."""
 
     racks: collections.Counter
     zones: collections.Counter
 
 
 def count_spread(demand, views):
+    """Return the :class:`Spread` of a demand, left empty for batch work."""
     spread = Spread(collections.Counter(), collections.Counter())
     if demand.record.workload.kind == data.Kind.BATCH:
         return spread
@@ -55,7 +55,7 @@
 
 
 def score_vm(demand, view, spread):
-    """Return the addends of a VM's score; the lowest sum wins."""
+    """Return the addends of a VM's score, as ``events.Part``."""
     workload = demand.record.workload
     size = workload.reserved
     after = view.reserved.add(size)
@@ -63,65 +63,67 @@
     if view.capacity.accelerators and not size.accelerators:
         free = view.capacity.accelerators - after.accelerators
         share = free / view.capacity.accelerators
-        parts.append(events.Part('stranding', _STRANDED_ACCELERATOR * share))
+        parts.append(events.Part('stranding', _STRANDED_WEIGHT * share))
     if workload.job:
         busy = view.busy_milli / max(1, view.capacity.cpu_milli)
-        parts.append(events.Part('busy', _BUSY * busy))
+        parts.append(events.Part('busy', _BUSY_WEIGHT * busy))
         if workload.fills:
-            slow = 1.0 - view.predict_pace(workload, demand.weight)
-            parts.append(events.Part('paced', _PACE * slow))
+            slowdown = 1.0 - view.predict_pace(workload, demand.weight)
+            parts.append(events.Part('paced', _SLOWDOWN_WEIGHT * slowdown))
         elif not workload.target_ms and not view.serving_milli:
-            parts.append(events.Part('clear', _CLEAR))
+            parts.append(events.Part('clear', _CLEAR_VM_PENALTY))
         if workload.data_rack and workload.data_rack not in view.labels:
-            parts.append(events.Part('far-from-data', _FAR_RACK))
+            parts.append(events.Part('far-from-data', _FAR_RACK_PENALTY))
         if demand.rack and demand.rack != view.rack:
-            parts.append(events.Part('far-from-others', _FAR_RACK))
+            parts.append(events.Part('far-from-others', _FAR_RACK_PENALTY))
     if workload.target_ms:
-        parts = _score_server(view, after)
+        parts = _score_serving_task(view, after)
     elif workload.kind != data.Kind.BATCH:
-        alike = demand.placed[view.vm.name]
-        parts.append(events.Part('same-vm', _SAME_VM * alike))
-        rack = spread.racks[view.rack]
-        parts.append(events.Part('same-rack', _SAME_RACK * rack))
-        zone = spread.zones[view.vm.availability_zone]
-        parts.append(events.Part('same-zone', _SAME_ZONE * zone))
+        replicas = demand.placed[view.vm.name]
+        parts.append(events.Part('same-vm', _SAME_VM_PENALTY * replicas))
+        in_rack = spread.racks[view.rack]
+        parts.append(events.Part('same-rack', _SAME_RACK_PENALTY * in_rack))
+        in_zone = spread.zones[view.vm.availability_zone]
+        parts.append(events.Part('same-zone', _SAME_ZONE_PENALTY * in_zone))
     return parts
 
 
-def score_danger(demand, suspected, view):
-    """Return the addends for what a crash of the worker would cost.
+def score_crash_risk(demand, suspected, view):
+    """Return the addends for the cost of a crash of the worker.
 
-    :param suspected: how many workers crashed under the task
+    :param suspected: number of workers that crashed under the task
     """
     if suspected and view.serving_milli:
-        return [events.Part('suspect', _SUSPECT)]
+        return [events.Part('suspect', _SUSPECT_PENALTY)]
     if any(unit != demand.unit for unit in view.suspects):
-        return [events.Part('beside-suspect', _SUSPECT)]
+        return [events.Part('beside-suspect', _SUSPECT_PENALTY)]
     return []
 
 
-def _score_server(view, after):
-    """Return the addends for what serves: packed on as few VMs as it goes.
+def _score_serving_task(view, after):
+    """Return the addends that pack serving tasks on as few VMs as possible.
 
-    The VMs that nothing serves on are left to what fills, which works there
-    unpaced. Large ones are opened first, as fewer are needed then.
+    VMs without serving tasks are left to filling tasks, which run at full pace
+    there. When a further VM is needed, large ones go first.
     """
-    cores = max(1, view.capacity.cpu_milli)
-    filled = events.Part('filled', _FILLED * view.filling_milli / cores)
+    capacity_milli = max(1, view.capacity.cpu_milli)
+    filled = events.Part(
+        'filled', _FILLED_WEIGHT * view.filling_milli / capacity_milli
+    )
     if view.serving_milli:
         return [
-            events.Part('packed', -after.cpu_milli / cores),
+            events.Part('packed', -after.cpu_milli / capacity_milli),
             filled,
         ]
-    size = events.Part('size', -cores / _LARGEST_MILLI)
-    return [events.Part('opens', _KEEP_CLEAR), size, filled]
+    size = events.Part('size', -capacity_milli / _SIZE_SCALE_MILLI)
+    return [events.Part('opens', _OPEN_VM_PENALTY), size, filled]
 
 
 def _measure_imbalance(reserved, capacity):
-    """Return how full a VM would be, by its fullest axis, 0 to 1.
+    """Return how full a VM would be, 0 to 1, by its fullest resource.
 
-    The emptiest VM wins: with interference unknown, spreading batch work
-    costs services the least.
+    The emptiest VM then wins: while interference is unknown, spreading batch
+    work slows services the least.
     """
     shares = [reserved.cpu_milli / max(1, capacity.cpu_milli)]
     shares.append(reserved.memory_mb / max(1, capacity.memory_mb))
--- a/packages/scheduler/portwharf/scheduler/decisions/vmview.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vmview.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A VM as placement sees it: what it can hold, holds, and would bear."""
+"""A VM as placement sees it: its capacity, reservations and headrooms."""
 
 import collections
 import dataclasses
@@ -9,17 +9,18 @@
 from portwharf.scheduler.decisions import precedence
 from portwharf.scheduler.decisions import presses
 
-# The share of its reservation that a task with a target uses at its peak;
-# what is left is for tasks that fill.
-SERVING_USE = 0.65
+# Share of its reserved processors that a serving task uses at its peak; the
+# others are left to filling tasks.
+SERVING_UTILIZATION = 0.65
 
 
 @dataclasses.dataclass(slots=True)
-class Filling:
-    """A task that fills a VM, as far as others may take its turn.
+class FillingTask:
+    """A filling task on a VM, as others compete with it for headroom.
 
-    :param weight: what its job counts, as ``precedence.Claim.weigh`` gives
-    :param share: of the VM's processors, at the pace that it works at
+    :param weight: its job's weight, as ``precedence.Claim.weigh`` returns it
+    :param image: the image that it runs
+    :param share: share of the VM's processors that it uses at its pace
     """
 
     weight: float = 0.0
@@ -29,24 +30,30 @@
 
 @dataclasses.dataclass(slots=True)
 class VmView:
-    """One VM as the owner sees it at the time of a pass.
+    """One VM as the owner sees it during a pass.
 
-    :param closed: '' or why it gets nothing new
-    :param probe: it gets one task, to see whether it is sound again
+    A serving task has a latency target (``Workload.target_ms``). A filling
+    task uses the processors that others leave unused (``Workload.fills``).
+
+    :param capacity: the resources that its worker offers
+    :param reserved: the resources that its tasks reserve
+    :param closed: why it gets no new tasks, or ''
+    :param probe: it gets one task, to check whether it works again
     :param services: list of ``remedies.ServiceView``
-    :param kinds: kinds of batch work on it, with how many tasks
-    :param filling_milli: processors that tasks which fill ask for
-    :param serving_milli: processors reserved by tasks with a target
-    :param reported: its side has told all that it runs to this owner
+    :param kinds: number of batch tasks by kind; throttled ones count less
+    :param filling_milli: processors requested by filling tasks, in thousandths
+    :param serving_milli: processors reserved by serving tasks, in thousandths
+    :param reported: its side has reported all that it runs to this owner
     :param pairs: a ``presses.Presses``, or None
-    :param headrooms: what each serving image can bear, by image
-    :param fillings: list of :class:`Filling`, what presses there already
-    :param rack: the rack that it stands in, or ''
+    :param headrooms: by serving image, by how much the logarithm of its tail
+        may still grow
+    :param fillings: list of :class:`FillingTask`
+    :param rack: the rack that it is in, or ''
     :param life: the ``data.LifeId`` of its worker
-    :param suspects: under how many crashes tasks were that are not cleared,
-        by job or workload
+    :param suspects: number of worker crashes of uncleared tasks on it, by job
+        or workload
     :param unsteady: its worker has crashed lately
-    :param largest: the largest capacity that its worker has shown
+    :param largest: the largest capacity that its worker has reported
     """
 
     vm: data.Vm = dataclasses.field(default_factory=data.Vm)
@@ -81,7 +88,7 @@
         self.largest = self.largest.cover(self.capacity)
 
     def copy(self):
-        """Return a view to try placements on, without a trace here."""
+        """Return a copy on which placements can be tried."""
         return dataclasses.replace(
             self,
             kinds=collections.Counter(self.kinds),
@@ -92,52 +99,55 @@
 
     @property
     def room(self):
-        """What can still be reserved."""
+        """The resources that can still be reserved."""
         return self.capacity.subtract(self.reserved)
 
     @property
     def busy_milli(self):
-        """Processors that are likely to be in use, in thousandths."""
-        idle = self.serving_milli * (1 - SERVING_USE)
+        """Processors that are expected to be in use, in thousandths."""
+        idle = self.serving_milli * (1 - SERVING_UTILIZATION)
         return int(self.reserved.cpu_milli - idle + self.filling_milli)
 
     def count_fill(self, workload):
-        """Count one task of a workload among what fills the VM."""
+        """Add the processors of one filling or serving task."""
         size = workload.resources.cpu_milli
         if workload.fills:
             self.filling_milli += size
         elif workload.target_ms:
             self.serving_milli += size
-            # A server that its side has not told of yet, as it is new or
-            # the side has just restarted, must not pass for no server.
+            # Its side may not have reported its headroom yet, as the task is
+            # new or the side has just restarted.
             self.headrooms.setdefault(workload.image, presses.FRESH_ROOM)
 
     def take_pairs(self, pairs, headrooms):
-        """Take what is known of pairs, and a list of ``Headroom``."""
+        """Set the presses, and the headrooms from ``messages.Headroom``."""
         self.pairs = pairs
-        self.headrooms = {one.serving: one.room for one in headrooms}
+        self.headrooms = {
+            headroom.serving: headroom.room for headroom in headrooms
+        }
 
     def note_suspect(self, unit, crashes):
-        """Count a task there that workers have crashed under.
+        """Record a crash suspect on the VM.
 
-        :param unit: its job, or its workload
+        :param unit: its job or workload
+        :param crashes: number of workers that crashed while running it
         """
         self.suspects[unit] = max(crashes, self.suspects.get(unit, 0))
 
     def suits(self, workload):
-        """Tell whether pool and label are those that a step asks for."""
+        """Return whether the VM has a step's pool and label."""
         if workload.pool and workload.pool != self.pool:
             return False
         return not workload.label or workload.label in self.labels
 
-    def predict_pace(self, workload, weight=precedence.LAST):
-        """Return the share, 0 to 1, that a filling task would work at.
+    def predict_pace(self, workload, weight=precedence.LAST_WEIGHT):
+        """Return the pace, 0 to 1, at which a filling task would run here.
 
-        :param weight: what its job counts; what goes after it there will
-            be paced for its sake
+        :param weight: its job's weight; tasks on the VM that rank after it are
+            expected to be slowed down in its favour
         """
         pace = 1.0
-        share = self._find_share(workload)
+        share = self._get_cpu_share(workload)
         for serving, room in self.headrooms.items():
             press = self.pairs.find_upper(serving, workload.image)
             cost = press * share
@@ -149,28 +159,28 @@
         return pace
 
     def _sum_yielding(self, serving, rank):
-        """Return what tasks that go after a rank take of a headroom."""
+        """Return the headroom used by filling tasks that come after a rank."""
         total = 0.0
-        for one in self.fillings:
-            press = self.pairs.find_upper(serving, one.image)
-            if precedence.rank(one.weight, press) > rank:
-                total += press * one.share
+        for task in self.fillings:
+            press = self.pairs.find_upper(serving, task.image)
+            if precedence.rank(task.weight, press) > rank:
+                total += press * task.share
         return total
 
-    def _find_share(self, workload):
-        """Return the share of the processors that a task asks for."""
+    def _get_cpu_share(self, workload):
+        """Return the share of the VM's processors that a task requests."""
         return workload.resources.cpu_milli / max(1, self.capacity.cpu_milli)
 
     def note_filling(self, workload, weight, pace):
-        """Count a task that fills the VM at a pace, 0 to 1."""
-        share = self._find_share(workload) * pace
-        self.fillings.append(Filling(weight, workload.image, share))
+        """Add a filling task that runs at a pace, 0 to 1."""
+        share = self._get_cpu_share(workload) * pace
+        self.fillings.append(FillingTask(weight, workload.image, share))
 
-    def add_task(self, workload, weight=precedence.LAST):
-        """Count one more task that is placed on the VM."""
+    def add_task(self, workload, weight=precedence.LAST_WEIGHT):
+        """Add a newly placed task."""
         if workload.fills:
             pace = self.predict_pace(workload, weight)
-            share = self._find_share(workload)
+            share = self._get_cpu_share(workload)
             for serving in self.headrooms:
                 press = self.pairs.find_upper(serving, workload.image)
                 self.headrooms[serving] -= press * share * pace
