--- a/packages/scheduler/portwharf/scheduler/decisions/interference_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/interference_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Pairs are learnt from late and noisy measurements, and learnt anew."""
+"""Interference is learnt from late and noisy measurements."""
 
 import math
 import random
@@ -10,8 +10,8 @@
 SERVICE = 'lens/fit'
 
 
-def measure(model, rnd, count, pairs):
-    """Have a model observe random mixtures of work with known effects."""
+def observe_random_mixtures(model, rnd, count, pairs):
+    """Have a model observe random mixtures of work of known effects."""
     for _ in range(count):
         load = rnd.uniform(0.2, 0.9)
         kinds = {kind: rnd.randint(0, 3) for kind in pairs}
@@ -22,9 +22,11 @@
         model.observe(SERVICE, load, kinds, math.exp(logs + rnd.gauss(0, 0.1)))
 
 
-def test_harmful_and_harmless_kinds_are_told_apart(case):
+def test_harmful_and_harmless_kinds_are_distinguished(case):
     model = interference.Model()
-    measure(model, random.Random(1), 300, {'bad': 0.25, 'good': 0.0})
+    observe_random_mixtures(
+        model, random.Random(1), 300, {'bad': 0.25, 'good': 0.0}
+    )
     bad = model.get_weight(SERVICE, 'bad', 0.75)
     good = model.get_weight(SERVICE, 'good', 0.75)
     case.assertAlmostEqual(bad, 0.25, delta=0.05)
@@ -33,7 +35,7 @@
 
 def test_prediction_grows_with_load_and_neighbours(case):
     model = interference.Model()
-    measure(model, random.Random(2), 300, {'bad': 0.25})
+    observe_random_mixtures(model, random.Random(2), 300, {'bad': 0.25})
     quiet = model.predict(SERVICE, 0.3, {}).bound(0)
     busy = model.predict(SERVICE, 0.9, {}).bound(0)
     beside = model.predict(SERVICE, 0.9, {'bad': 2}).bound(0)
@@ -41,29 +43,29 @@
     case.assertLess(busy, beside)
 
 
-def test_pair_that_shifts_is_learnt_anew(case):
+def test_changed_coefficient_is_learnt_anew(case):
     model = interference.Model()
     rnd = random.Random(3)
-    measure(model, rnd, 300, {'kind': 0.0})
-    measure(model, rnd, 600, {'kind': 0.3})
+    observe_random_mixtures(model, rnd, 300, {'kind': 0.0})
+    observe_random_mixtures(model, rnd, 600, {'kind': 0.3})
     case.assertGreater(model.get_weight(SERVICE, 'kind', 0.75), 0.2)
 
 
-def test_evidence_makes_sure(case):
+def test_measurements_reduce_deviation(case):
     model = interference.Model()
     before = model.predict(SERVICE, 0.5, {'kind': 2}).deviation
-    measure(model, random.Random(4), 100, {'kind': 0.1})
+    observe_random_mixtures(model, random.Random(4), 100, {'kind': 0.1})
     after = model.predict(SERVICE, 0.5, {'kind': 2}).deviation
     case.assertLess(after, before / 4)
 
 
-def test_no_kind_speeds_a_service_up(case):
+def test_coefficients_of_kinds_are_never_negative(case):
     model = interference.Model()
-    measure(model, random.Random(5), 200, {'kind': -0.3})
+    observe_random_mixtures(model, random.Random(5), 200, {'kind': -0.3})
     case.assertGreaterEqual(model.get_weight(SERVICE, 'kind', 0.5), 0.0)
 
 
-def test_kinds_are_bounded(case):
+def test_number_of_coefficients_is_bounded(case):
     model = interference.Model()
     for number in range(1000):
         model.observe(SERVICE, 0.5, {f'kind-{number}': 1}, 0.1)
@@ -72,7 +74,7 @@
     )
 
 
-def test_measurement_is_joined_to_what_ran_then(case):
+def test_timeline_finds_what_ran_at_a_time(case):
     timeline = interference.Timeline()
     timeline.note('vm-1', {'a': 1}, 10.0)
     timeline.note('vm-1', {'b': 1}, 20.0)
@@ -82,19 +84,19 @@
     case.assertIsNone(timeline.find('vm-2', 15.0))
 
 
-def test_record_of_what_ran_is_bounded(case):
+def test_timeline_is_bounded(case):
     timeline = interference.Timeline()
     for second in range(10_000):
         timeline.note('vm-1', {'a': second}, float(second))
-    most = interference.HISTORY_SECONDS + 2
-    case.assertLessEqual(len(timeline._rows['vm-1']), most)
+    max_rows = interference.HISTORY_SECONDS + 2
+    case.assertLessEqual(len(timeline._rows['vm-1']), max_rows)
 
 
-def test_kind_beyond_those_told_apart_has_a_weight(case):
-    """A service may meet more kinds than are told apart.
+def test_kind_beyond_the_limit_has_a_weight(case):
+    """A service may meet more kinds than the model keeps apart.
 
-    Asking for the weight of one more must not fail: the deciding thread of
-    an owner asks it for each VM with a service.
+    Asking for the weight of one more must not fail, as an owner's decision
+    thread asks it for each VM with a service.
     """
     model = interference.Model()
     for number in range(2 * interference.MAX_COEFFICIENTS):
@@ -102,10 +104,10 @@
         case.assertGreater(weight, 0.0)
 
 
-def test_what_is_learnt_of_a_kind_outlasts_further_kinds(case):
-    """A full table takes no new kinds, and keeps those that it has."""
+def test_further_kinds_do_not_displace_learnt_ones(case):
+    """A full model takes no new kinds, and keeps those that it has."""
     model = interference.Model()
-    measure(model, random.Random(3), 300, {'bad': 0.25})
+    observe_random_mixtures(model, random.Random(3), 300, {'bad': 0.25})
     before = model.predict(SERVICE, 0.75, {'bad': 3}).bound(0)
     for number in range(2 * interference.MAX_COEFFICIENTS):
         model.predict(SERVICE, 0.75, {f'kind-{number}': 1})
