--- a/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Placement keeps to what VMs hold and to what matters most."""
+"""Placement respects capacities, quotas, order and services' targets."""
 
 import hypothesis
 from hypothesis import strategies
@@ -17,45 +17,45 @@
 
 
 def make_view(number, size=None, **fields):
-    """Return a VM with nothing on it."""
+    """Return the view of an empty VM."""
     capacity = size or data.Resources(4000, 8000)
     return vmview.VmView(fixtures.make_vm(number), capacity, **fields)
 
 
 def make_demand(name='plans', count=1, **fields):
-    """Return a workload whose tasks all wait."""
+    """Return the demand of a workload whose tasks all wait."""
     workload = fixtures.make_workload(name=name, count=count, **fields)
     record = state.WorkloadRecord(f'0-{name}', workload.key, 5, workload)
     return backlog.Demand(record)
 
 
 def place(demands, views, limits=None, reserved=None):
-    """Run a pass."""
+    """Run a pass and return its result."""
     quotas = backlog.Quotas(limits or {}, reserved or {})
     return placement.place_demands(demands, views, quotas, NOW_MS)
 
 
-def list_placed(done):
-    """Return task and VM of each placement."""
-    return [(one.task, one.vm) for one in done.placements]
+def list_placed(result):
+    """Return (task, VM) of each placement."""
+    return [(one.task, one.vm) for one in result.placements]
 
 
 def test_batch_tasks_spread_over_empty_vms(case):
     views = [make_view(number) for number in range(3)]
-    done = place([make_demand(count=3)], views)
-    vms = {one.vm for one in done.placements}
+    result = place([make_demand(count=3)], views)
+    vms = {one.vm for one in result.placements}
     case.assertEqual(vms, {'vm-00', 'vm-01', 'vm-02'})
 
 
-def test_full_vms_are_counted_by_reason(case):
+def test_refused_vms_are_counted_by_reason(case):
     views = [
         make_view(0, data.Resources(500, 8000)),
         make_view(1, data.Resources(4000, 500)),
         make_view(2, closed='leaving'),
         make_view(3, data.Resources(400, 400)),
     ]
-    done = place([make_demand()], views)
-    (waiting,) = done.waiting
+    result = place([make_demand()], views)
+    (waiting,) = result.waiting
     decision = placement.explain_wait(waiting, NOW_MS)
     counts = {one.name: one.number for one in decision.refusals}
     case.assertEqual(counts, {'processors': 2, 'memory': 1, 'leaving': 1})
@@ -85,51 +85,51 @@
     case.assertEqual(names, ['soon', 'late', 'none'])
 
 
-def test_replicas_go_to_vms_of_their_own(case):
+def test_replicas_are_placed_on_different_vms(case):
     views = [make_view(number) for number in range(2)]
-    done = place([make_demand(count=3, kind=data.Kind.SERVICE)], views)
-    case.assertEqual(len(done.placements), 2)
-    (waiting,) = done.waiting
+    result = place([make_demand(count=3, kind=data.Kind.SERVICE)], views)
+    case.assertEqual(len(result.placements), 2)
+    (waiting,) = result.waiting
     decision = placement.explain_wait(waiting, NOW_MS)
     case.assertEqual(decision.refusals[0].name, 'replica-there-already')
 
 
 def test_replicas_spread_over_racks(case):
     views = [make_view(number) for number in range(9)]
-    done = place([make_demand(count=3, kind=data.Kind.SERVICE)], views)
-    racks = {int(one.vm[3:]) // 3 for one in done.placements}
+    result = place([make_demand(count=3, kind=data.Kind.SERVICE)], views)
+    racks = {int(one.vm[3:]) // 3 for one in result.placements}
     case.assertEqual(racks, {0, 1, 2})
 
 
-def test_accelerators_are_left_to_who_needs_them(case):
+def test_vms_with_accelerators_are_kept_for_tasks_that_need_them(case):
     views = [make_view(0, data.Resources(4000, 8000, 2)), make_view(1)]
-    done = place([make_demand(count=2)], views)
-    case.assertEqual({one.vm for one in done.placements}, {'vm-01'})
+    result = place([make_demand(count=2)], views)
+    case.assertEqual({one.vm for one in result.placements}, {'vm-01'})
     size = data.Resources(1000, 1000, 1)
-    done = place([make_demand(resources=size)], views)
-    case.assertEqual(list_placed(done), [('0-plans.0', 'vm-00')])
+    result = place([make_demand(resources=size)], views)
+    case.assertEqual(list_placed(result), [('0-plans.0', 'vm-00')])
 
 
-def test_quota_holds_a_team_back_and_no_other(case):
+def test_quota_limits_only_its_own_team(case):
     demands = [
         make_demand('mine', count=3, importance=5),
         make_demand('theirs', team='stock'),
     ]
     limits = {'lens': data.Resources(2000, 9000)}
-    done = place(demands, [make_view(0, data.Resources(3000, 9000))], limits)
-    names = [one.task for one in done.placements]
+    result = place(demands, [make_view(0, data.Resources(3000, 9000))], limits)
+    names = [one.task for one in result.placements]
     case.assertEqual(names, ['0-mine.0', '0-mine.1', '0-theirs.0'])
-    case.assertEqual(done.waiting[0].reason, placement.REASON_QUOTA)
+    case.assertEqual(result.waiting[0].reason, placement.REASON_QUOTA)
 
 
-def test_what_nobody_needs_is_lent_over_the_quota(case):
+def test_unused_room_is_lent_beyond_the_quota(case):
     demands = [
         make_demand('mine', count=3, importance=5),
         make_demand('theirs', team='stock'),
     ]
     limits = {'lens': data.Resources(2000, 9000)}
-    done = place(demands, [make_view(0, data.Resources(9000, 9000))], limits)
-    names = [one.task for one in done.placements]
+    result = place(demands, [make_view(0, data.Resources(9000, 9000))], limits)
+    names = [one.task for one in result.placements]
     expected = ['0-mine.0', '0-mine.1', '0-theirs.0', '0-mine.2']
     case.assertEqual(names, expected)
 
@@ -142,16 +142,16 @@
     def judge(services, kinds, kind):
         return kinds[kind] < 1, 0.1
 
-    done = placement.place_demands(
+    result = placement.place_demands(
         [make_demand(count=9)],
         [quiet, near],
         backlog.Quotas({}, {}),
         NOW_MS,
         judge,
     )
-    vms = [one.vm for one in done.placements]
+    vms = [one.vm for one in result.placements]
     case.assertEqual(vms.count('vm-01'), 1)
-    decision = placement.explain_wait(done.waiting[0], NOW_MS)
+    decision = placement.explain_wait(result.waiting[0], NOW_MS)
     refusals = {one.name for one in decision.refusals}
     case.assertIn(choosing.REFUSED_SLOWS_SERVICE, refusals)
 
@@ -167,7 +167,7 @@
     case.assertEqual(ordered[0].record.workload.name, 'new')
 
 
-def test_what_can_never_run_is_told_with_what_would(case):
+def test_unplaceable_workload_is_reported_with_largest_size(case):
     views = [make_view(0), make_view(1, data.Resources(2000, 16000))]
     workload = fixtures.make_workload(resources=data.Resources(8000, 4000))
     problem = placement.check_placeable(workload, views)
@@ -176,7 +176,7 @@
     case.assertIsNone(placement.check_placeable(fitting, views))
 
 
-def test_never_is_not_said_before_all_have_told(case):
+def test_unplaceable_is_not_reported_before_all_capacities_are_known(case):
     views = [make_view(0), make_view(1, data.Resources())]
     workload = fixtures.make_workload(resources=data.Resources(8000, 4000))
     case.assertIsNone(placement.check_placeable(workload, views))
@@ -204,10 +204,10 @@
             make_demand(f'job-{n}', count, resources=size)
             for n, (size, count) in enumerate(jobs)
         ]
-        done = place(demands, views)
+        result = place(demands, views)
         for view in views:
             case.assertTrue(view.reserved.fits(view.capacity))
-        placed = [one.task for one in done.placements]
+        placed = [one.task for one in result.placements]
         case.assertEqual(len(placed), len(set(placed)))
 
     check()
--- a/packages/scheduler/portwharf/scheduler/decisions/rehoming_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/rehoming_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A task that hardly works moves to where it would, and only then."""
+"""A stuck task moves if it ends sooner elsewhere, and only then."""
 
 import dataclasses
 
@@ -20,14 +20,14 @@
 
 @dataclasses.dataclass(slots=True)
 class View:
-    """What a link knows of its side."""
+    """Stands for the view that a link has of its side."""
 
     paced: list
 
 
 @dataclasses.dataclass(slots=True)
 class Link:
-    """A link to a side."""
+    """Stands for ``members.MemberLink``."""
 
     name: str
     view: View
@@ -37,21 +37,21 @@
     """Return a state with a filling task on vm-1."""
     values = {'resources': SIZE, 'fills': True, 'image': 'plan', **fields}
     step = data.Workload(count=1, **values)
-    made = state.ShardState()
-    made.apply(events.JobAccepted(1, data.Job(ID, steps=[step])))
-    made.apply(events.TaskPlaced(TASK, 1, 'vm-1'))
-    return made
+    shard_state = state.ShardState()
+    shard_state.apply(events.JobAccepted(1, data.Job(ID, steps=[step])))
+    shard_state.apply(events.TaskPlaced(TASK, 1, 'vm-1'))
+    return shard_state
 
 
 def find_stuck(percent, began=0.0, now=10.0, done=0, **fields):
-    """Return what is stuck when the task works at a share."""
+    """Return the stuck tasks when the task runs at a percentage."""
     link = Link('vm-1', View([messages.PacedTask(TASK, 1, percent, done)]))
-    made = make_state(**fields)
-    return rehoming.find_stuck(made, [link], lambda _: began, now)
+    shard_state = make_state(**fields)
+    return rehoming.find_stuck(shard_state, [link], lambda _: began, now)
 
 
 def make_view(name='vm-2', **fields):
-    """Return a view of a VM that is clear."""
+    """Return the view of an empty VM."""
     view = vmview.VmView(data.Vm(name), data.Resources(16000, 64000))
     view.pairs = presses.Presses()
     for field, value in fields.items():
@@ -59,16 +59,16 @@
     return view
 
 
-def test_member_of_a_gang_stays_with_the_others(case):
+def test_member_of_a_gang_is_not_moved(case):
     case.assertEqual(find_stuck(3, gang=True), [])
 
 
-def test_task_that_hardly_works_goes_to_a_clear_vm(case):
+def test_stuck_task_moves_to_a_vm_without_serving_tasks(case):
     moved = rehoming.choose_moves(find_stuck(3), [make_view()])
     case.assertEqual([task.id for task in moved], [TASK])
 
 
-def test_task_at_work_stays(case):
+def test_task_with_a_good_pace_stays(case):
     case.assertEqual(find_stuck(60), [])
 
 
@@ -81,7 +81,7 @@
     case.assertEqual(rehoming.choose_moves(find_stuck(3), [view]), [])
 
 
-def test_nothing_moves_to_a_full_closed_or_unsuitable_vm(case):
+def test_no_task_moves_to_a_full_closed_or_unsuitable_vm(case):
     views = [
         make_view(filling_milli=14000),
         make_view(closed='unreachable'),
@@ -91,19 +91,19 @@
     case.assertEqual(rehoming.choose_moves(find_stuck(3), views), [])
 
 
-def test_nothing_moves_beside_a_server_whose_room_is_unknown(case):
-    """By the log something serves there, and its side has not told of room.
+def test_no_task_moves_beside_a_serving_task_of_unknown_headroom(case):
+    """By the log a serving task is there, but its headroom is not reported.
 
-    So it is while a server is new, and between the first heartbeat of a
-    side that has restarted and its next.
+    This happens while the task is new, and between the first heartbeat of a
+    restarted side and its next.
     """
     view = make_view()
     view.count_fill(data.Workload(resources=SIZE, image='desk', target_ms=20))
     case.assertEqual(rehoming.choose_moves(find_stuck(3), [view]), [])
 
 
-def test_task_that_saves_nothing_stays_where_it_ends_sooner(case):
-    """Nine tenths done, at 30 percent, it needs a third of a run here."""
+def test_task_without_checkpoints_stays_where_it_ends_sooner(case):
+    """At 90% done and a pace of 30%, it needs a third of a run here."""
     views = [make_view()]
     kept = find_stuck(30, done=90, run_ms=5000, checkpointable=True)
     case.assertEqual(rehoming.choose_moves(kept, views), [])
@@ -113,62 +113,64 @@
     case.assertEqual(len(rehoming.choose_moves(saved, views)), 1)
 
 
-def test_task_that_was_moved_does_not_go_back_at_once(case):
-    """Its own place looks best, as its share there is free now."""
+def test_moved_task_does_not_return_at_once(case):
+    """The VM that it came from looks best, as its share there is free."""
     shunned = rehoming.Shunned()
     shunned.note(TASK, 'vm-1', 0.0)
-    made = make_state(job=ID)
-    made.apply(events.TaskRequeued(TASK, 1))
+    shard_state = make_state(job=ID)
+    shard_state.apply(events.TaskRequeued(TASK, 1))
     views = [make_view('vm-1'), make_view('vm-2', filling_milli=8000)]
     places = []
     for now in (1.0, 1.0 + rehoming.SHUN_SECONDS):
-        (demand,) = planning.list_demands(made, lambda _: frozenset(), 1)
+        (demand,) = planning.list_demands(
+            shard_state, lambda _: frozenset(), 1
+        )
         demand.shunned = shunned.find(now)
-        done = planning.plan(made, [demand], views, {}, 1)
+        done = planning.plan(shard_state, [demand], views, {}, 1)
         places += [placed.vm for placed in done.placements]
         views = [make_view('vm-1'), make_view('vm-2', filling_milli=8000)]
     case.assertEqual(places, ['vm-2', 'vm-1'])
 
 
-def test_task_that_was_moved_goes_back_rather_than_nowhere(case):
-    made = make_state()
-    made.apply(events.TaskRequeued(TASK, 1))
-    (demand,) = planning.list_demands(made, lambda _: frozenset(), 1)
+def test_moved_task_returns_if_no_other_vm_has_room(case):
+    shard_state = make_state()
+    shard_state.apply(events.TaskRequeued(TASK, 1))
+    (demand,) = planning.list_demands(shard_state, lambda _: frozenset(), 1)
     demand.shunned = {TASK: 'vm-1'}
-    done = planning.plan(made, [demand], [make_view('vm-1')], {}, 1)
+    done = planning.plan(shard_state, [demand], [make_view('vm-1')], {}, 1)
     case.assertEqual(done.placements, [])
     demand.take_any()
-    done = planning.plan(made, [demand], [make_view('vm-1')], {}, 1)
+    done = planning.plan(shard_state, [demand], [make_view('vm-1')], {}, 1)
     case.assertEqual(len(done.placements), 1)
 
 
-def test_one_task_that_keeps_away_does_not_speak_for_the_others(case):
+def test_task_that_must_not_return_does_not_block_others(case):
     step = data.Workload(count=2, resources=SIZE, fills=True, image='plan')
-    made = make_state()
-    made.apply(events.TaskRequeued(TASK, 1))
+    shard_state = make_state()
+    shard_state.apply(events.TaskRequeued(TASK, 1))
     job = data.Job(ID[::-1], steps=[step])
-    made.apply(events.JobAccepted(1, job))
-    demands = planning.list_demands(made, lambda _: frozenset(), 1)
+    shard_state.apply(events.JobAccepted(1, job))
+    demands = planning.list_demands(shard_state, lambda _: frozenset(), 1)
     for demand in demands:
         demand.shunned = {TASK: 'vm-1'}
-    done = planning.plan(made, demands, [make_view('vm-1')], {}, 1)
+    done = planning.plan(shard_state, demands, [make_view('vm-1')], {}, 1)
     case.assertEqual(len(done.placements), 2)
 
 
 def make_pressed_view(weight):
-    """Return a view full with a filling task whose job counts so much."""
+    """Return a view filled by a task whose job has a weight."""
     view = make_view(headrooms={'desk': 0.0})
     view.note_filling(data.Workload(resources=SIZE, image='plan'), weight, 1.0)
     return view
 
 
-def test_place_is_good_where_others_yield(case):
+def test_pace_is_high_where_others_yield(case):
     size = data.Workload(resources=SIZE, image='plan', fills=True)
     case.assertEqual(make_pressed_view(90.0).predict_pace(size, 10.0), 1.0)
     case.assertEqual(make_pressed_view(10.0).predict_pace(size, 90.0), 0.0)
 
 
-def test_room_that_was_given_away_is_given_once(case):
+def test_headroom_of_yielding_tasks_is_used_once(case):
     size = data.Workload(resources=SIZE, image='plan', fills=True)
     view = make_pressed_view(90.0)
     view.add_task(size, 10.0)
@@ -176,7 +178,7 @@
     case.assertEqual(view.predict_pace(size, 5.0), 1.0)
 
 
-def test_task_that_asks_for_no_processor_is_not_paced(case):
+def test_task_that_requests_no_processor_has_full_pace(case):
     size = data.Resources(0, 1000)
     step = data.Workload(resources=size, image='plan', fills=True)
     view = make_view(headrooms={'desk': 0.0})
