--- a/packages/scheduler/portwharf/scheduler/decisions/choosing.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/choosing.py
@@ -69,7 +69,7 @@
     spread = scoring.count_spread(demand, views)
     size = demand.record.workload.reserved
     shunned_vm = demand.shunned_vm
-    suspected = demand.suspected
+    crash_count = demand.suspected
     is_service = demand.record.workload.kind == data.Kind.SERVICE
     for view in views:
         reason = _refuse(size, view) or _refuse_step(demand, view)
@@ -80,13 +80,13 @@
             reason = 'failed-there-lately'
         elif not reason and view.vm.name == shunned_vm:
             reason = 'was-moved-away-from-there'
-        elif not reason and _is_crash_risk(demand, suspected, view):
+        elif not reason and _is_crash_risk(demand, crash_count, view):
             reason = REFUSED_SUSPECT
         if reason:
             choice.refusals[reason] += 1
             continue
         parts = scoring.score_vm(demand, view, spread)
-        parts += scoring.score_crash_risk(demand, suspected, view)
+        parts += scoring.score_crash_risk(demand, crash_count, view)
         if is_batch and judge is not None and view.services:
             targets_hold, cost = judge(view.services, view.kinds, kind)
             if not targets_hold:
@@ -116,7 +116,7 @@
     demand.placed[view.vm.name] += 1
 
 
-def _is_crash_risk(demand, suspected, view):
+def _is_crash_risk(demand, crash_count, view):
     """Return whether a crash there would be ambiguous or costly.
 
     Crash suspects are placed on different VMs, as a crash under two of them
@@ -124,16 +124,16 @@
     with a single crash and a serving task are kept away from suspects, and a
     suspect from workers that crashed lately.
 
-    :param suspected: number of workers that crashed under the task
+    :param crash_count: number of workers that crashed under the task
     """
     others = [n for unit, n in view.suspects.items() if unit != demand.unit]
-    is_suspect = suspected >= suspects.SUSPICIOUS
+    is_suspect = crash_count >= suspects.SUSPICIOUS
     if not others:
         return is_suspect and view.unsteady and demand.choosy
-    if suspected and max(suspected, *others) >= suspects.SUSPICIOUS:
+    if crash_count and max(crash_count, *others) >= suspects.SUSPICIOUS:
         return True
     is_serving = demand.record.workload.target_ms > 0
-    return demand.choosy and (suspected > 0 or is_serving)
+    return demand.choosy and (crash_count > 0 or is_serving)
 
 
 def _refuse(size, view):
--- a/packages/scheduler/portwharf/scheduler/decisions/planning.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/planning.py
@@ -66,8 +66,8 @@
     """
     if not demands:
         return placement.Pass()
-    used = backlog.Quotas(quotas, sum_by_team(state))
-    return placement.place_demands(demands, views, used, now_ms, judge)
+    team_quotas = backlog.Quotas(quotas, sum_by_team(state))
+    return placement.place_demands(demands, views, team_quotas, now_ms, judge)
 
 
 def list_demands(state, list_avoided, now_ms, runtimes=None):
--- a/packages/scheduler/portwharf/scheduler/decisions/pressure.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/pressure.py
@@ -53,27 +53,27 @@
         self._throttled = set()
         self._unthrottled = set()
 
-    def note_begun(self, task, now):
+    def note_begun(self, attempt, now):
         """Record that an attempt was placed.
 
-        :param task: task id and attempt number
+        :param attempt: (task id, attempt number)
         """
-        self._placed_at[task] = now
-        self._unthrottled.add(task)
+        self._placed_at[attempt] = now
+        self._unthrottled.add(attempt)
 
     def note_lost(self, vm):
         """Record that commands to a VM may have been lost."""
         held = self._state.held[vm].values()
-        names = {(task.id, task.attempt) for task in held}
-        self._throttled -= names
-        self._unthrottled -= names
+        attempts = {(task.id, task.attempt) for task in held}
+        self._throttled -= attempts
+        self._unthrottled -= attempts
 
-    def read_begun(self, name):
+    def read_begun(self, attempt):
         """Return when an attempt was placed, or else when the owner began.
 
-        :param name: task id and attempt number
+        :param attempt: (task id, attempt number)
         """
-        return self._placed_at.get(name, self._began)
+        return self._placed_at.get(attempt, self._began)
 
     def note_measures(self, vm, measures, targets, now):
         """Record a side's measurements of its services.
@@ -132,29 +132,29 @@
                 continue
             if task.state != data.TaskState.PLACED or workload.gang:
                 continue
-            name = (task.id, task.attempt)
-            began = self._placed_at.get(name, self._began)
+            attempt = (task.id, task.attempt)
+            placed_at = self._placed_at.get(attempt, self._began)
             found.append(
                 remedies.Neighbour(
                     task.id,
                     backlog.get_interference_kind(workload),
-                    now - began,
+                    now - placed_at,
                     workload.importance,
                     task.evictions,
                     workload.checkpointable,
-                    name in self._throttled,
-                    self._may_be_throttled(name, workload),
+                    attempt in self._throttled,
+                    self._may_be_throttled(attempt, workload),
                     workload.resources,
                 )
             )
         return found
 
-    def _may_be_throttled(self, name, workload):
-        """Return whether an attempt may be throttled without being known to.
+    def _may_be_throttled(self, attempt, workload):
+        """Return whether an attempt may be throttled unknown to this owner.
 
         Filling tasks are left out: their side alone controls their pace.
         """
-        known = name in self._throttled or name in self._unthrottled
+        known = attempt in self._throttled or attempt in self._unthrottled
         return not known and not workload.fills
 
     def find_actions(self, now):
@@ -183,9 +183,9 @@
         :param over_quota: names of the teams over their quotas
         """
         actions = []
+        evictable = self._list_evictable(views, over_quota, now)
         # Shapes of requests for which no room can be made, as thousands of
         # jobs may request the same.
-        evictable = self._list_evictable(views, over_quota, now)
         failed_shapes = set()
         for demand in demands:
             workload = demand.record.workload
@@ -213,9 +213,9 @@
         self._throttled &= live
         self._unthrottled &= live
         self._placed_at = {
-            name: began
-            for name, began in self._placed_at.items()
-            if name in live
+            attempt: placed_at
+            for attempt, placed_at in self._placed_at.items()
+            if attempt in live
         }
 
     def _make_room(self, demand, views, evictable, now):
@@ -281,14 +281,15 @@
         ]
 
     def _note_throttled(self, action):
+        """Record whether an action leaves its attempt throttled."""
         task = self._state.tasks[action.task]
-        name = (task.id, task.attempt)
+        attempt = (task.id, task.attempt)
         if 0 < action.percent < 100:
-            self._throttled.add(name)
-            self._unthrottled.discard(name)
+            self._throttled.add(attempt)
+            self._unthrottled.discard(attempt)
         else:
-            self._throttled.discard(name)
-            self._unthrottled.add(name)
+            self._throttled.discard(attempt)
+            self._unthrottled.add(attempt)
 
 
 def _get_importance_limit(workload):
--- a/packages/scheduler/portwharf/scheduler/decisions/rehoming.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/rehoming.py
@@ -135,23 +135,23 @@
         added to them
     """
     chosen = []
-    for one in stuck:
+    for entry in stuck:
         if len(chosen) >= MAX_MOVES_PER_PASS:
             break
-        destination = _find_destination(one, views)
+        destination = _find_destination(entry, views)
         if destination is not None:
-            destination.add_task(one.workload, one.weight)
-            chosen.append(one.task)
+            destination.add_task(entry.workload, entry.weight)
+            chosen.append(entry.task)
     return chosen
 
 
-def _find_destination(one, views):
+def _find_destination(entry, views):
     """Return the view that gives a stuck task the best pace, or None."""
-    workload = one.workload
+    workload = entry.workload
     best, best_pace = None, 0.0
     for view in views:
         idle_milli = view.capacity.cpu_milli - view.busy_milli
-        if view.closed or view.suspects or view.vm.name == one.task.vm:
+        if view.closed or view.suspects or view.vm.name == entry.task.vm:
             continue
         if not workload.reserved.fits(view.room):
             continue
@@ -159,19 +159,19 @@
             workload
         ):
             continue
-        pace = view.predict_pace(workload, one.weight)
+        pace = view.predict_pace(workload, entry.weight)
         if (
             pace >= MIN_DESTINATION_PACE
             and pace > best_pace
-            and _is_worthwhile(one, pace)
+            and _is_worthwhile(entry, pace)
         ):
             best, best_pace = view, pace
     return best
 
 
-def _is_worthwhile(one, pace):
+def _is_worthwhile(entry, pace):
     """Return whether a move makes a stuck task end sufficiently sooner."""
     return (
-        one.estimate_elsewhere_ms(pace)
-        < MAX_TIME_SHARE * one.remaining_here_ms
+        entry.estimate_elsewhere_ms(pace)
+        < MAX_TIME_SHARE * entry.remaining_here_ms
     )
--- a/packages/scheduler/portwharf/scheduler/decisions/scoring.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/scoring.py
@@ -88,12 +88,12 @@
     return parts
 
 
-def score_crash_risk(demand, suspected, view):
+def score_crash_risk(demand, crash_count, view):
     """Return the addends for the cost of a crash of the worker.
 
-    :param suspected: number of workers that crashed under the task
+    :param crash_count: number of workers that crashed under the task
     """
-    if suspected and view.serving_milli:
+    if crash_count and view.serving_milli:
         return [events.Part('suspect', _SUSPECT_PENALTY)]
     if any(unit != demand.unit for unit in view.suspects):
         return [events.Part('beside-suspect', _SUSPECT_PENALTY)]
--- a/packages/scheduler/portwharf/scheduler/decisions/vmview.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vmview.py
@@ -105,8 +105,8 @@
     @property
     def busy_milli(self):
         """Processors that are expected to be in use, in thousandths."""
-        idle = self.serving_milli * (1 - SERVING_UTILIZATION)
-        return int(self.reserved.cpu_milli - idle + self.filling_milli)
+        unused_milli = self.serving_milli * (1 - SERVING_UTILIZATION)
+        return int(self.reserved.cpu_milli - unused_milli + self.filling_milli)
 
     def count_fill(self, workload):
         """Add the processors of one filling or serving task."""
