--- a/packages/side/portwharf/side/admission.py
+++ b/packages/side/portwharf/side/admission.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What the side lets through to its runner, and in which order.
+"""The request queue in front of a side's runner.
 
-As many requests run as the runner has slots; a bounded number waits, the
-nearest deadline first, and behind them those of callers that have more than
-their share under way. One that can't be begun before its deadline, or that
-finds the queue full of more pressing ones, is answered "not run" at once,
-which is true because the runner has not seen it.
+At most as many requests run as the runner has slots. A bounded number of
+others waits in order of deadline; requests of callers that exceed their fair
+share wait behind all others. A request that cannot start before its deadline,
+or that is displaced from a full queue, is answered "not run" at once. That
+answer is always correct, because the runner has not received the request.
 """
 
 import dataclasses
@@ -27,11 +27,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One request on its way to the runner.
+    """A request that waits for the runner or runs there.
 
-    :param excess: its caller has more than its share under way
-    :param deadline: on our monotonic clock, in seconds
-    :param may_run: asked just before the runner gets it
+    :param excess: whether its caller exceeds its fair share
+    :param deadline: on the side's monotonic clock, in seconds
+    :param may_run: called just before the request goes to the runner; a false
+        result cancels it
     :param finish: called once with a :class:`Verdict`
     """
 
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What became of a request at this endpoint."""
+    """The outcome of a request at this endpoint."""
 
     outcome: int = data.Outcome.NOT_RUN
     reason: str = ''
@@ -56,10 +57,15 @@
 
 
 class Admission:
-    """The queue before one runner; a context manager that drains it."""
+    """The request queue of one runner; a context manager that drains it."""
 
     def __init__(self, runner, slots, queue, clock):
-        """Take the runner, its slots and how many may wait."""
+        """Initialise the queue.
+
+        :param runner: an ``endpoints.Runner``
+        :param slots: how many requests run at a time
+        :param queue: how many requests may wait
+        """
         self._runner = runner
         self._slots = slots
         self._limit = queue
@@ -70,11 +76,11 @@
         self._running = 0
         self._draining = False
         self._ended = False
-        self._run_seconds = 0.0
-        # Count and seconds at the runner of each service since they were
-        # last taken.
-        self._spent = {}
-        self._taken = clock.read_monotonic()
+        self._mean_run_seconds = 0.0
+        # Request count and seconds at the runner by service, since the last
+        # call of ``take_measures``.
+        self._load = {}
+        self._measured_at = clock.read_monotonic()
         self._threads = [
             threading.Thread(target=self._work, name='runner', daemon=True)
             for _ in range(slots)
@@ -86,7 +92,7 @@
         return self
 
     def __exit__(self, *exc_info):
-        """Finish what runs and waits, then end."""
+        """Finish all running and waiting requests, then stop the threads."""
         self.drain()
         with self._changed:
             self._ended = True
@@ -96,56 +102,63 @@
 
     @property
     def in_flight(self):
-        """Requests that run or wait here."""
+        """The number of running and waiting requests."""
         return self._running + len(self._heap)
 
     @property
     def slots(self):
-        """How many requests run at a time."""
+        """The number of requests that may run at a time."""
         return self._slots
 
     def drain(self):
-        """Take nothing new from now on; finish what is here."""
+        """Reject new requests from now on; finish the admitted ones."""
         with self._changed:
             self._draining = True
             self._changed.notify_all()
 
     def offer(self, job):
-        """Take a request, or answer at once that it did not run."""
+        """Queue a request, or answer at once that it did not run."""
         with self._changed:
-            refused, reason = self._insert(job)
+            rejected, reason = self._insert(job)
             self._changed.notify()
-        if refused is not None:
-            refused.finish(self._refuse(reason))
+        if rejected is not None:
+            rejected.finish(self._refuse(reason))
 
     def take_measures(self):
-        """Return what was measured since the last call."""
+        """Return the load of each service since the last call.
+
+        :returns: list of ``messages.ServiceMeasure``
+        """
         now = self._clock.read_monotonic()
         with self._changed:
-            spent, self._spent = self._spent, {}
-            since, self._taken = self._taken, now
-        length = max(0.001, now - since)
+            spent, self._load = self._load, {}
+            measured_at, self._measured_at = self._measured_at, now
+        interval_seconds = max(0.001, now - measured_at)
         return [
             messages.ServiceMeasure(
                 service,
                 count,
                 int(1e6 * seconds / count),
-                round(seconds / length / self._slots, 4),
-                int(500 * length),
+                round(seconds / interval_seconds / self._slots, 4),
+                int(500 * interval_seconds),
             )
             for service, (count, seconds) in spent.items()
         ]
 
     def wait_until_idle(self, timeout):
-        """Wait until nothing runs or waits.
+        """Wait until no request runs or waits.
 
-        :returns: whether that came about in time
+        :returns: whether that happened within ``timeout`` seconds
         """
         with self._changed:
             return self._changed.wait_for(lambda: self.in_flight == 0, timeout)
 
     def _insert(self, job):
-        """Queue a request; return the one that is refused, and why."""
+        """Queue a request.
+
+        :returns: the rejected request, which may be another one, and the
+            reason; or None and ''
+        """
         if self._draining:
             return job, REASON_LEAVING
         row = (job.excess, job.deadline, next(self._numbers), job)
@@ -157,18 +170,18 @@
         heapq.heapify(self._heap)
         return last[-1], REASON_QUEUE
 
-    def _note_spent(self, service, spent):
+    def _record_run_time(self, service, spent):
         with self._changed:
-            self._run_seconds += (spent - self._run_seconds) / 16
-            count, seconds = self._spent.get(service, (0, 0.0))
-            self._spent[service] = (count + 1, seconds + spent)
+            self._mean_run_seconds += (spent - self._mean_run_seconds) / 16
+            count, seconds = self._load.get(service, (0, 0.0))
+            self._load[service] = (count + 1, seconds + spent)
 
     def _refuse(self, reason):
-        wait = 0
+        retry_after_ms = 0
         if reason == REASON_QUEUE:
-            turns = (self._limit + self._slots) / self._slots
-            wait = int(1000 * turns * self._run_seconds / 2)
-        return Verdict(reason=reason, retry_after_ms=wait)
+            rounds = (self._limit + self._slots) / self._slots
+            retry_after_ms = int(1000 * rounds * self._mean_run_seconds / 2)
+        return Verdict(reason=reason, retry_after_ms=retry_after_ms)
 
     def _work(self):
         while True:
@@ -186,18 +199,20 @@
                     self._changed.notify_all()
 
     def _run(self, job):
-        """Give a request to the runner, if it still makes sense."""
+        """Run a request unless it was withdrawn, expired or may not run."""
         began = self._clock.read_monotonic()
-        left = job.deadline - began
+        remaining = job.deadline - began
         if job.withdrawn:
             return Verdict(reason=REASON_WITHDRAWN)
-        if left <= 0:
+        if remaining <= 0:
             return Verdict(reason=REASON_DEADLINE)
         if job.may_run is not None and not job.may_run():
             return Verdict(reason=REASON_CHANGED)
-        answer = self._runner.run(job.request, job.service, job.payload, left)
+        answer = self._runner.run(
+            job.request, job.service, job.payload, remaining
+        )
         spent = self._clock.read_monotonic() - began
-        self._note_spent(job.service, spent)
+        self._record_run_time(job.service, spent)
         if not answer.ran:
             return Verdict(reason=answer.reason)
         if not answer.whole:
--- a/packages/side/portwharf/side/agent.py
+++ b/packages/side/portwharf/side/agent.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The side's hand on its worker: starts, watches and stops attempts.
+"""Starts, monitors and stops attempts on the VM's worker.
 
-One thread does everything that touches the worker: commands of the owner
-in the order they came, and at a steady beat the listing, the renewal of
-leases, heartbeats and reports. What an attempt has come to stays in the
-worker's own listing until the owner says that it is in the log, so that a
-side that restarts has lost nothing.
+One thread makes all calls to the worker. It carries out the owner's commands
+in order of arrival and periodically reads the worker's listing, renews leases,
+and sends heartbeats and reports. The worker lists an ended attempt until the
+owner confirms that the result is in the log, so a restarted side loses
+nothing.
 """
 
 import dataclasses
@@ -18,29 +18,29 @@
 from portwharf.core import logs
 from portwharf.core import recent
 from portwharf.peers import messages
+from portwharf.side import checkpoints
 from portwharf.side import doubts
 from portwharf.side import leases
 from portwharf.side import losses
-from portwharf.side import paces
+from portwharf.side import pace_controller
 from portwharf.side import reports
-from portwharf.side import saves
+from portwharf.side import runtimes
 from portwharf.side import sight
-from portwharf.side import slowed
-from portwharf.side import worktimes
+from portwharf.side import slowdowns
 from portwharf import workers
 
 LOG = logging.getLogger(__name__)
 
 _POLL_SECONDS = 0.4
-# So that the thread never runs on without a pause.
-_LEAST_WAIT_SECONDS = 0.01
-# Half of the wait before a grant that was not valid is asked for again.
-_AGAIN_SECONDS = 0.02
+# Keeps the thread from spinning.
+_MIN_WAIT_SECONDS = 0.01
+# Doubled before each retry of a grant request.
+_INITIAL_RETRY_SECONDS = 0.02
 _MS = 1000
 
-# Refused attempts that are remembered. A copy of a command arrives within
-# the life of its connection, so that old ones can go.
-MAX_BURNT = 10_000
+# Refused attempts that are remembered. A duplicate command arrives within the
+# lifetime of its connection, so older entries can be dropped.
+MAX_REFUSED = 10_000
 REFUSED_CAPACITY = 'no-room-on-the-vm'
 REFUSED_EPOCH = 'command-of-a-former-owner'
 REFUSED_GRANT = messages.REFUSED_GRANT
@@ -53,10 +53,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Command:
-    """An owner's command and the connection that it came on.
+    """An owner's command and the connection that it arrived on.
 
-    :param granted_until: when the grant that it came under ends, on our
-        clock
+    :param granted_until: end of the grant in force when the command arrived,
+        on the side's monotonic clock
     """
 
     conn: object = None
@@ -65,15 +65,17 @@
 
 
 class Agent:
-    """Runs the worker as the owner says; a context manager.
+    """Carries out the owner's commands on the worker; a context manager.
 
-    Without a worker it only sends heartbeats, with no capacity.
+    Without a worker it sends only heartbeats, with no capacity.
     """
 
     def __init__(self, worker, guard, limits, clock, on_change):
-        """Take the worker or None, and the side's guard.
+        """Initialise the agent.
 
-        :param on_change: called when the services that run have changed
+        :param worker: the ``workers.Worker``, or None
+        :param guard: the side's ``Guard``
+        :param on_change: called when the set of running services changes
         """
         self._worker = worker
         self._guard = guard
@@ -81,36 +83,36 @@
         self._clock = clock
         self._on_change = on_change
         self._commands = queue.SimpleQueue()
-        self._command_until = 0.0
+        self._command_granted_until = 0.0
         self._conn = None
-        self._sent = {}
-        # Tasks with the highest attempt that was refused, latest last.
-        self._burnt = recent.Recent(MAX_BURNT)
-        self._whole = False
+        self._reported_states = {}
+        # The highest refused attempt of each task, most recent last.
+        self._refused = recent.Recent(MAX_REFUSED)
+        self._full_report_due = False
         self._listing = workers.Listing()
-        began = clock.read_monotonic()
-        self._leases = leases.LeaseKeeper(worker, guard, limits, began)
-        self._sight = sight.Sight(worker)
-        self._doubts = doubts.Doubts()
-        self._losses = losses.LossTeller(clock, self._send)
-        self._paces = paces.PaceKeeper(worker)
-        self._pacer = self._paces.pacer
-        self._saves = saves.SaveTeller()
-        self._meter = worktimes.WorkMeter()
-        self._slowed = slowed.SlowedLog()
+        started_at = clock.read_monotonic()
+        self._leases = leases.LeaseKeeper(worker, guard, limits, started_at)
+        self._monitor = sight.Sight(worker)
+        self._unconfirmed = doubts.Doubts()
+        self._losses = losses.LossReporter(clock, self._send)
+        self._pace_controller = pace_controller.PaceController(worker)
+        self._pacer = self._pace_controller.pacer
+        self._checkpoints = checkpoints.CheckpointReporter()
+        self._runtimes = runtimes.RuntimeEstimator()
+        self._slowdowns = slowdowns.SlowdownLog()
         self._owner_ms = 0
-        self._again = _AGAIN_SECONDS
-        # The last grant was not valid, and another is asked for soon.
-        self._asks_again = False
+        self._retry_seconds = _INITIAL_RETRY_SECONDS
+        # The last grant was not valid, so the next heartbeat is sent early.
+        self._retries_grant = False
         self._listed_at = 0.0
-        self._next_beat = 0.0
+        self._next_heartbeat = 0.0
         self._next_poll = 0.0
         self._services = frozenset()
         self._stop = threading.Event()
         self.draining = False
         self.config_revision = 0
         self.read_roster_seq = lambda: 0
-        # Whether an operator has closed this VM's availability zone.
+        # Tells whether an operator has closed this VM's availability zone.
         self.is_zone_closed = lambda: False
         self.take_measures = list
         self._thread = threading.Thread(
@@ -119,7 +121,7 @@
 
     def __enter__(self):
         if self._worker is not None:
-            self._worker.follow(self._look_soon)
+            self._worker.follow(self._poll_soon)
         self._thread.start()
         return self
 
@@ -130,17 +132,17 @@
 
     @property
     def services(self):
-        """The services that run here, as a set of "team/name"."""
+        """The services that run on the worker, as a set of "team/name"."""
         return self._services
 
     def take_owner(self, conn):
         """Follow the owner at the other end of a connection from now on."""
-        former = self._conn
+        previous = self._conn
         self._owner_ms = 0
         self._conn = conn
         self._commands.put(_Command(conn, None))
-        if former is not None:
-            former.close()
+        if previous is not None:
+            previous.close()
 
     def lose_owner(self, conn):
         """Stop following the owner of a connection that has ended."""
@@ -149,55 +151,55 @@
             self._guard.note_lost()
 
     def command(self, conn, message):
-        """Queue a command that came on a connection."""
+        """Queue a command that arrived on a connection."""
         self._commands.put(_Command(conn, message, self._guard.granted_until))
 
     def take_grant(self, grant):
         """Take the owner's time from a grant, for the next heartbeat.
 
-        The first of an owner is answered at once, and one that is not
-        valid soon, so that a new owner has its majority without delay.
+        The first grant of an owner is answered at once, and an invalid one
+        soon, so that a new owner gets its majority without delay.
         """
         first = self._owner_ms == 0
         self._owner_ms = grant.owner_ms
         if first:
-            self._again = _AGAIN_SECONDS
-            self._next_beat = 0.0
+            self._retry_seconds = _INITIAL_RETRY_SECONDS
+            self._next_heartbeat = 0.0
             self._commands.put(None)
-        self._asks_again = not grant.valid
+        self._retries_grant = not grant.valid
         if not first and not grant.valid:
-            self._ask_again()
+            self._schedule_retry()
 
-    def _ask_again(self):
-        """Send the next heartbeat soon: the owner has no majority yet.
+    def _schedule_retry(self):
+        """Schedule an early heartbeat: the owner has no majority yet.
 
-        Later each time, as it may not have one for long.
+        The delay doubles with each retry, up to the poll interval.
         """
-        self._again = min(_POLL_SECONDS, 2 * self._again)
-        soon = self._clock.read_monotonic() + self._again
-        self._next_beat = min(self._next_beat, soon)
+        self._retry_seconds = min(_POLL_SECONDS, 2 * self._retry_seconds)
+        retry_at = self._clock.read_monotonic() + self._retry_seconds
+        self._next_heartbeat = min(self._next_heartbeat, retry_at)
         self._commands.put(None)
 
-    def _look_soon(self):
-        """Have the listing read now instead of at the next poll."""
+    def _poll_soon(self):
+        """Read the worker's listing now instead of at the next poll."""
         self._next_poll = 0.0
         self._commands.put(None)
 
     def _run(self):
         while not self._stop.is_set():
-            self.step(self._find_wait())
+            self.step(self._compute_wait())
 
-    def _find_wait(self):
-        """Return for how many seconds to wait for a command at the most."""
-        if not self._asks_again or self._conn is None:
+    def _compute_wait(self):
+        """Return the maximum time to wait for a command, in seconds."""
+        if not self._retries_grant or self._conn is None:
             return _POLL_SECONDS
-        left = self._next_beat - self._clock.read_monotonic()
-        return min(_POLL_SECONDS, max(_LEAST_WAIT_SECONDS, left))
+        left = self._next_heartbeat - self._clock.read_monotonic()
+        return min(_POLL_SECONDS, max(_MIN_WAIT_SECONDS, left))
 
     def step(self, timeout=0.0):
-        """Carry out one command, then poll and beat if it is time.
+        """Carry out one command, then poll and send a heartbeat if due.
 
-        Called by the agent's thread alone, or by a test in its place.
+        Called only by the agent's thread, or by a test in its place.
 
         :param timeout: seconds to wait for a command
         """
@@ -209,63 +211,66 @@
         if now >= self._next_poll:
             self._next_poll = now + _POLL_SECONDS
             self._poll()
-        self._beat()
+        self._send_heartbeat()
 
     def _obey(self, command):
         """Carry out a command, unless its connection has ended."""
         if command is None or command.conn is not self._conn:
             return
         message = command.message
-        self._command_until = command.granted_until
+        self._command_granted_until = command.granted_until
         if message is None:
-            self._greet_owner()
+            self._reset_for_owner()
         elif isinstance(message, messages.ForgetTasks):
-            self._forget(message.tasks)
+            self._forget_attempts(message.tasks)
         elif isinstance(message, messages.PressUpdate):
             self._pacer.presses.take_told(message.presses)
         elif isinstance(message, messages.HeldTasks):
-            self._take_held(message)
-        elif not self._sight.knows_all:
-            # It may be about what our former life began. The whole report
-            # that is still to come has the owner send it again.
+            self._record_held(message)
+        elif not self._monitor.knows_all:
+            # The command may concern an attempt that was started before this
+            # side restarted. The owner sends it again after the full report,
+            # which is still due.
             return
         elif not self._guard.accepts(message.epoch):
             self._refuse(message, REFUSED_EPOCH)
         elif isinstance(message, messages.StartTask):
             self._start(message)
         elif isinstance(message, messages.StopTask):
-            self._end(message)
+            self._stop_attempt(message)
         elif isinstance(message, messages.ThrottleTask):
-            self._paces.throttle(message)
-
-    def _greet_owner(self):
-        """Begin with a new owner connection: everything is told again."""
-        self._sent = {}
-        self._whole = True
-        self._pacer.note_owner()
-        self._saves.forget_told()
-        self._next_beat = 0.0
+            self._pace_controller.throttle(message)
+
+    def _reset_for_owner(self):
+        """Prepare for a new owner connection: everything is reported anew."""
+        self._reported_states = {}
+        self._full_report_due = True
+        self._pacer.record_new_owner()
+        self._checkpoints.forget_reported()
+        self._next_heartbeat = 0.0
         self._next_poll = 0.0
 
-    def _take_held(self, message):
-        """Learn what runs here, and act on it and tell of it at once."""
-        self._paces.take_held(message)
+    def _record_held(self, message):
+        """Record which tasks the VM holds, and poll and report at once."""
+        self._pace_controller.record_held(message)
         self._next_poll = 0.0
-        self._next_beat = 0.0
+        self._next_heartbeat = 0.0
 
     def _start(self, message):
-        """Begin an attempt, if all that must hold does."""
+        """Start an attempt if all conditions for it hold."""
         self._pacer.note_start(message)
         known = reports.find_latest(self._listing.attempts, message.task)
         if known is not None and known.attempt == message.attempt:
             return
-        if self._doubts.is_doubtful(message.task, message.attempt):
+        if self._unconfirmed.is_start_unconfirmed(
+            message.task, message.attempt
+        ):
             return
-        begun = self._doubts.has_begun(message.task, message.attempt)
-        if begun and known is None:
-            # It ran in a former life of the worker.
+        started = self._unconfirmed.has_begun(message.task, message.attempt)
+        if started and known is None:
+            # It ran in an earlier incarnation of the worker.
             name = (message.task, message.attempt)
-            self._losses.tell_gone([name], losses.GONE_UNLISTED)
+            self._losses.report_gone([name], losses.GONE_UNLISTED)
             return
         reason = self._check_start(message, known)
         if reason:
@@ -284,22 +289,22 @@
             message.ticket,
             self._listing.life,
         )
-        self._try_start(message, start)
+        self._send_start(message, start)
 
-    def _try_start(self, message, start):
-        """Send a start, and once more if it is not answered."""
-        self._doubts.note_begun(start.task, start.attempt)
+    def _send_start(self, message, start):
+        """Send a start to the worker; retry once if there is no answer."""
+        self._unconfirmed.record_start(start.task, start.attempt)
         first = self._worker.start(start)
         answer = self._worker.start(start) if first.is_err() else first
         self._next_poll = 0.0
         if answer.is_ok() and not answer.ok_value:
             self._listing.attempts.append(reports.make_attempt(start))
-            self._meter.note_start(start, self._clock.read_monotonic())
-            self._losses.note_start(start.task, start.attempt)
+            self._runtimes.record_start(start, self._clock.read_monotonic())
+            self._losses.record_start(start.task, start.attempt)
             return
         unclear = first.is_err() or answer.ok_value == workers.REFUSED_OLD
         if unclear:
-            self._doubts.doubt_start(
+            self._unconfirmed.add_start(
                 start.task, start.attempt, start.resources
             )
             return
@@ -307,18 +312,18 @@
         self._refuse(message, answer.ok_value, at_worker=not sound)
 
     def _check_start(self, message, known):
-        """Return why an attempt must not begin here, or ''."""
+        """Return why an attempt must not start here, or ''."""
         if self._worker is None:
             return REFUSED_CAPACITY
         if self._listing.draining:
             return REFUSED_LEAVING
         if self.is_zone_closed():
             return REFUSED_ZONE
-        if self._sight.is_silent(self._clock.read_monotonic()):
+        if self._monitor.is_silent(self._clock.read_monotonic()):
             return REFUSED_SILENT
         if self._listing.absent:
             return REFUSED_ABSENT
-        if message.attempt <= self._burnt.get(message.task, 0):
+        if message.attempt <= self._refused.get(message.task, 0):
             return REFUSED_ATTEMPT
         if known is not None and known.attempt > message.attempt:
             return REFUSED_ATTEMPT
@@ -326,40 +331,46 @@
             return REFUSED_ATTEMPT
         if message.exclusive and not self._is_granted():
             return REFUSED_GRANT
-        room = self._listing.capacity.subtract(self._sum_running())
-        # A stranger's size is not known until it is stopped.
-        if self._pacer.runs_strangers or not message.resources.fits(room):
+        free = self._listing.capacity.subtract(self._sum_running())
+        # The size of an unknown attempt is not known, so no capacity is free
+        # until it has been stopped.
+        if self._pacer.has_unknown_attempts or not message.resources.fits(
+            free
+        ):
             return REFUSED_CAPACITY
         return ''
 
     def _is_granted(self):
-        """Tell whether the command may be obeyed under a grant.
+        """Tell whether the command may be carried out under a grant.
 
-        Grants overtake commands, which wait for this thread: once the one
-        that a command came under is over, its task may run elsewhere.
+        Grants can overtake queued commands. Once the grant that was in force
+        when a command arrived has expired, the owner may already run the task
+        elsewhere.
         """
         now = self._clock.read_monotonic()
-        return self._guard.is_granted() and now < self._command_until
+        return self._guard.is_granted() and now < self._command_granted_until
 
     def _sum_running(self):
-        """Return what runs, or may run, takes of the worker's room."""
-        used = self._doubts.sum_sizes()
+        """Return the resources of all attempts that run or may run."""
+        used = self._unconfirmed.sum_resources()
         for attempt in self._listing.attempts:
             if attempt.state == data.RunState.RUNNING:
                 used = used.add(attempt.resources)
         return used
 
     def _refuse(self, message, reason, at_worker=False):
-        """Report that an attempt was not begun, and why.
+        """Report that an attempt was not started, and why.
 
-        It never will be: the owner, once it has heard this, begins the
-        next attempt elsewhere, and a second copy of this command may be
-        under way.
+        The attempt must never start later: after this report the owner starts
+        the next attempt elsewhere, and a duplicate of this command may still
+        be in transit.
         """
         if not isinstance(message, messages.StartTask):
             return
         self._burn(message)
-        LOG.warning('not started: %s', reason, extra=_name(message))
+        LOG.warning(
+            'start refused: %s', reason, extra=_make_log_fields(message)
+        )
         report = messages.TaskReport(
             message.task,
             message.attempt,
@@ -370,35 +381,37 @@
         self._send(messages.Reports(reports=[report]))
 
     def _burn(self, message):
-        """Remember that an attempt must not begin any more."""
-        attempt = max(message.attempt, self._burnt.get(message.task, 0))
-        self._burnt.put(message.task, attempt)
+        """Record that an attempt must never start."""
+        attempt = max(message.attempt, self._refused.get(message.task, 0))
+        self._refused.put(message.task, attempt)
 
-    def _end(self, message):
-        """End an attempt; one that is not known is reported as gone."""
+    def _stop_attempt(self, message):
+        """Stop an attempt, or report it as gone if it is not known."""
         known = [
             a
             for a in self._listing.attempts
             if (a.task, a.attempt) == (message.task, message.attempt)
         ]
-        if self._doubts.is_doubtful(message.task, message.attempt):
+        if self._unconfirmed.is_start_unconfirmed(
+            message.task, message.attempt
+        ):
             return
         if not known:
             self._burn(message)
             name = (message.task, message.attempt)
-            self._losses.tell_gone([name], losses.GONE_UNKNOWN)
+            self._losses.report_gone([name], losses.GONE_UNKNOWN)
             return
-        self._doubts.want_stop(
+        self._unconfirmed.add_stop(
             message.task, message.attempt, message.checkpoint
         )
         now = self._clock.read_monotonic()
-        self._doubts.repeat_stops(self._worker, self._listing, now)
+        self._unconfirmed.resend_stops(self._worker, self._listing, now)
         self._next_poll = 0.0
 
-    def _forget(self, refs):
+    def _forget_attempts(self, refs):
         for ref in refs:
             self._worker.forget(ref.task, ref.attempt)
-            self._sent.pop((ref.task, ref.attempt), None)
+            self._reported_states.pop((ref.task, ref.attempt), None)
         gone = {(ref.task, ref.attempt) for ref in refs}
         self._listing.attempts = [
             a
@@ -407,85 +420,91 @@
         ]
 
     def _poll(self):
-        """Read the listing, keep leases, and report what has changed."""
+        """Read the listing, renew leases, and report what has changed."""
         if self._worker is None:
-            self._report(self._whole)
+            self._report(self._full_report_due)
             return
-        asked = self._worker.read_listing()
-        if asked.is_err():
-            self._note_silent(asked.err_value)
+        polled = self._worker.read_listing()
+        if polled.is_err():
+            self._handle_silence(polled.err_value)
             return
-        self._sight.note_answer()
-        former = self._listing
-        self._listing = asked.ok_value
+        self._monitor.record_response()
+        previous = self._listing
+        self._listing = polled.ok_value
         self._listed_at = self._clock.read_monotonic()
-        if self._listing.absent or self._listing.life != former.life:
-            self._leases.begin_anew()
-        self._tell_room(former)
-        self._losses.note_listing(
-            former, self._listing, self._doubts.list_starts()
+        if self._listing.absent or self._listing.life != previous.life:
+            self._leases.reset()
+        self._report_capacity(previous)
+        self._losses.check_for_crash(
+            previous, self._listing, self._unconfirmed.list_starts()
         )
-        self._tell_vanished(former, losses.GONE_UNLISTED)
-        self._leases.take_listing(self._listing, self._listed_at)
-        self._leases.keep()
-        self._settle_orders()
+        self._tell_vanished(previous, losses.GONE_UNLISTED)
+        self._leases.update_listing(self._listing, self._listed_at)
+        self._leases.renew_or_stop()
+        self._settle_unconfirmed()
         now = self._clock.read_monotonic()
         now_ms = self._clock.read_unix_ms()
         paced = self._pacer.list_paced()
-        self._meter.note_listing(self._listing.attempts, paced, now)
-        self._slowed.note_listing(self._listing.attempts, paced, now)
-        self._paces.keep(self._listing, now, now_ms)
-        self._note_services()
-        self._report(self._whole)
-
-    def _note_silent(self, text):
-        """Count the worker as silent, and as lapsed once that is sure."""
+        self._runtimes.update(self._listing.attempts, paced, now)
+        self._slowdowns.update(self._listing.attempts, paced, now)
+        self._pace_controller.apply_plan(self._listing, now, now_ms)
+        self._update_services()
+        self._report(self._full_report_due)
+
+    def _handle_silence(self, text):
+        """Handle a failed poll, and expired leases on a silent worker."""
         now = self._clock.read_monotonic()
-        self._sight.note_silence(text, now)
-        if not self._sight.is_silent(now):
+        self._monitor.record_silence(text, now)
+        if not self._monitor.is_silent(now):
             return
-        former = self._listing
+        previous = self._listing
         lapsed = self._leases.have_lapsed(now)
-        self._listing = sight.make_silent(former, lapsed)
-        self._tell_vanished(former, losses.GONE_LAPSED)
+        self._listing = sight.make_silent_listing(previous, lapsed)
+        self._tell_vanished(previous, losses.GONE_LAPSED)
         if lapsed:
-            self._tell_lapsed()
+            self._report_lapsed()
 
-    def _tell_lapsed(self):
-        """Tell what is left: nobody waits for a worker that is silent."""
-        self._sight.note_lapse()
-        gone = self._doubts.give_up_starts()
-        self._losses.tell_gone(gone, losses.GONE_LAPSED)
-        self._report(self._whole)
+    def _report_lapsed(self):
+        """Report the remaining attempts; no task may wait for them."""
+        self._monitor.record_expiry()
+        gone = self._unconfirmed.give_up_starts()
+        self._losses.report_gone(gone, losses.GONE_LAPSED)
+        self._report(self._full_report_due)
 
-    def _tell_room(self, former):
-        """Tell at once what the worker can hold, if that has changed.
+    def _report_capacity(self, previous):
+        """Report the worker's capacity at once if it has changed.
 
-        Before the end of what ran there is told: an owner that places that
-        again would take the VM for one with room. 153 starts were refused in
-        4 s for want of this.
+        This must precede the report of attempts that ended with the old
+        capacity: otherwise the owner places their tasks on this VM again,
+        where they are refused.
         """
-        room, before = self._listing.capacity, former.capacity
-        if room == before:
+        capacity, before = self._listing.capacity, previous.capacity
+        if capacity == before:
             return
-        if room.cpu_milli and before.cpu_milli:
-            LOG.info('room %s, was %s', _describe(room), _describe(before))
-        self._next_beat = 0.0
-        self._beat()
-
-    def _tell_vanished(self, former, reason):
-        """Tell of what ran and is not listed, and forget what was sent."""
-        for name in self._losses.tell_vanished(former, self._listing, reason):
-            self._sent.pop(name, None)
-
-    def _settle_orders(self):
-        """Follow up starts and stops that got no clear answer."""
+        if capacity.cpu_milli and before.cpu_milli:
+            LOG.info(
+                'capacity changed: %s, was %s',
+                _format_resources(capacity),
+                _format_resources(before),
+            )
+        self._next_heartbeat = 0.0
+        self._send_heartbeat()
+
+    def _tell_vanished(self, previous, reason):
+        """Report vanished attempts as gone; drop their reported state."""
+        for name in self._losses.report_vanished(
+            previous, self._listing, reason
+        ):
+            self._reported_states.pop(name, None)
+
+    def _settle_unconfirmed(self):
+        """Follow up on starts and stops that the worker has not confirmed."""
         now = self._clock.read_monotonic()
-        self._doubts.repeat_stops(self._worker, self._listing, now)
-        gone = self._doubts.settle_starts(self._worker, self._listing)
-        self._losses.tell_gone(gone, losses.GONE_STOPPED)
+        self._unconfirmed.resend_stops(self._worker, self._listing, now)
+        gone = self._unconfirmed.settle_starts(self._worker, self._listing)
+        self._losses.report_gone(gone, losses.GONE_STOPPED)
 
-    def _note_services(self):
+    def _update_services(self):
         running = frozenset(
             attempt.workload
             for attempt in self._listing.attempts
@@ -497,25 +516,25 @@
             self._on_change()
 
     def _report(self, whole):
-        """Report attempts that changed, or all of them."""
+        """Report attempts whose state has changed, or all of them."""
         if self._conn is None or self._guard.forgetful:
             return
         changed = []
         for attempt in self._listing.attempts:
             name = (attempt.task, attempt.attempt)
-            if whole or self._sent.get(name) != attempt.state:
+            if whole or self._reported_states.get(name) != attempt.state:
                 changed.append(reports.make_report(attempt))
-                self._sent[name] = attempt.state
+                self._reported_states[name] = attempt.state
         if not changed and not whole:
             return
-        self._whole = False
+        self._full_report_due = False
         self._send(messages.Reports(whole, changed))
 
-    def _beat(self):
+    def _send_heartbeat(self):
         now = self._clock.read_monotonic()
-        if self._conn is None or now < self._next_beat:
+        if self._conn is None or now < self._next_heartbeat:
             return
-        self._next_beat = now + self._limits.heartbeat
+        self._next_heartbeat = now + self._limits.heartbeat
         epoch = 0 if self._guard.forgetful else self._guard.epoch
         self._send(
             messages.Heartbeat(
@@ -536,9 +555,9 @@
                 self._listing.rack,
                 self._listing.life.instance,
                 self._pacer.take_known(),
-                self._saves.list_due(self._listing.attempts, now),
+                self._checkpoints.list_due(self._listing.attempts, now),
                 self._listing.life.born_ms,
-                self._meter.take(),
+                self._runtimes.take_estimates(),
             )
         )
 
@@ -548,9 +567,9 @@
             conn.try_send(message)
 
 
-def _describe(room):
-    return f'{room.cpu_milli} milliprocessors, {room.memory_mb} MB'
+def _format_resources(resources):
+    return f'{resources.cpu_milli} millicores, {resources.memory_mb} MB'
 
 
-def _name(item):
+def _make_log_fields(item):
     return logs.fields(task=item.task, attempt=item.attempt)
--- a/packages/side/portwharf/side/home_machine_test.py
+++ b/packages/side/portwharf/side/at_most_once_machine_test.py
@@ -22,8 +22,8 @@
 from portwharf.scheduler import rosters
 from portwharf.scheduler import state
 from portwharf.side import admission
-from portwharf.side import home
-from portwharf.side import home_test
+from portwharf.side import at_most_once
+from portwharf.side import at_most_once_test
 from portwharf.testing import fixtures
 
 NAMES = [f'vm-{number}' for number in range(4)]
@@ -47,7 +47,7 @@
     def __init__(self):
         super().__init__()
         self.true = clock.ManualClock()
-        self.guards = {name: home_test.FakeGuard() for name in NAMES}
+        self.guards = {name: at_most_once_test.FakeGuard() for name in NAMES}
         self.homes = {}
         self.clocks = {}
         for number, name in enumerate(NAMES):
@@ -74,7 +74,7 @@
 
     def boot(self, name):
         """Start a side; its memory is empty."""
-        self.homes[name] = home.Home(
+        self.homes[name] = at_most_once.AtMostOncePolicy(
             name, self.guards[name], self.clocks[name]
         )
 
@@ -172,7 +172,7 @@
     def send(self, order, wrong_ms, asked, at_once):
         """A caller sends a new request, and again by other entries."""
         made_ms = self.true.read_unix_ms() + wrong_ms
-        request = home_test.make_id(made_ms, len(self.ids))
+        request = at_most_once_test.make_id(made_ms, len(self.ids))
         self.ids.append(request)
         self.send_to(order[:asked], request, False, at_once)
 
@@ -192,7 +192,7 @@
     def ask(self, name, request, sent_before):
         """Ask a side; the queue before the runner may hold it up."""
         verdict = self.homes[name].admit(
-            request, home_test.SERVICE, sent_before
+            request, at_most_once_test.SERVICE, sent_before
         )
         if verdict is None:
             self.waiting.append((self.homes[name], request))
@@ -205,9 +205,9 @@
         for made, request in self.waiting:
             if made not in self.homes.values():
                 continue
-            if made.is_ours(request, home_test.SERVICE):
+            if made.may_run_now(request, at_most_once_test.SERVICE):
                 self.runs[request] += 1
-                made.record(request, home_test.ANSWERED)
+                made.record(request, at_most_once_test.ANSWERED)
             else:
                 made.record(request, admission.Verdict(reason='changed'))
         self.waiting = []
@@ -240,7 +240,9 @@
     """Send new requests to all sides, some seconds after the changes."""
     machine.true.advance(4)
     for serial in range(40):
-        request = home_test.make_id(machine.true.read_unix_ms(), serial)
+        request = at_most_once_test.make_id(
+            machine.true.read_unix_ms(), serial
+        )
         machine.send_to(NAMES, request, False, True)
     machine.check()
 
@@ -282,24 +284,29 @@
 
 def test_each_rule_is_needed(case):
     """Deliberate faults: each makes a request run twice."""
-    check = home.Home._check
+    check = at_most_once.AtMostOncePolicy._check
 
     def ignore_former(self, *arguments):
         found = check(self, *arguments)
-        return '' if found == home.REASON_FORMER_HOME else found
+        return '' if found == at_most_once.REASON_FORMER_HOME else found
 
     faults = {
         'former homes ignored': (
             run_machine,
-            home.Home,
+            at_most_once.AtMostOncePolicy,
             '_check',
             ignore_former,
         ),
-        'no memory': (run_machine, home.Home, 'record', _forget),
+        'no memory': (
+            run_machine,
+            at_most_once.AtMostOncePolicy,
+            'record',
+            _forget,
+        ),
         'pending rosters ignored': (
             walk_past_an_unheard_end,
-            home.Home,
-            '_is_home_now',
+            at_most_once.AtMostOncePolicy,
+            '_is_current_home',
             lambda self, request, service: True,
         ),
         'pending rosters put in force at once': (
--- a/packages/side/portwharf/side/home_test.py
+++ b/packages/side/portwharf/side/at_most_once_test.py
@@ -11,7 +11,7 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.side import admission
-from portwharf.side import home
+from portwharf.side import at_most_once
 
 SERVICE = 'lens/order'
 ANSWERED = admission.Verdict(data.Outcome.ANSWERED, '', b'done')
@@ -54,7 +54,7 @@
 def make_home(*members, name='vm-0'):
     """Return a home with its clock, long after all began."""
     now = clock.ManualClock()
-    made = home.Home(name, FakeGuard(), now)
+    made = at_most_once.AtMostOncePolicy(name, FakeGuard(), now)
     now.advance(100)
     if members:
         made.take_update(make_update(*members), 1)
@@ -93,7 +93,7 @@
     request = make_id(now.read_unix_ms())
     verdict = admit(made, request)
     case.assertEqual(verdict.outcome, data.Outcome.NOT_RUN)
-    case.assertEqual(verdict.reason, home.REASON_NOT_HOME)
+    case.assertEqual(verdict.reason, at_most_once.REASON_NOT_HOME)
     again = admit(made, request, True)
     case.assertEqual(again.outcome, data.Outcome.UNKNOWN)
 
@@ -102,14 +102,14 @@
     made, now = make_home('vm-0')
     made._guard.granted = False
     verdict = admit(made, make_id(now.read_unix_ms()))
-    case.assertEqual(verdict.reason, home.REASON_NOT_CONFIRMED)
+    case.assertEqual(verdict.reason, at_most_once.REASON_NOT_CONFIRMED)
 
 
 def test_pending_roster_takes_homes_away_at_once(case):
     made, now = make_home()
     made.take_update(make_update('vm-0', pending=('vm-1',)), 1)
     verdict = admit(made, make_id(now.read_unix_ms()))
-    case.assertEqual(verdict.reason, home.REASON_NOT_HOME)
+    case.assertEqual(verdict.reason, at_most_once.REASON_NOT_HOME)
 
 
 def test_id_from_before_the_roster_may_have_run_elsewhere(case):
@@ -119,9 +119,11 @@
     update.history.append(make_roster(['vm-0'], 2, since))
     made.take_update(update, 1)
     now.advance(60)
-    old = make_id(since + home.SKEW_MS - 1)
+    old = make_id(since + at_most_once.MAX_SKEW_MS - 1)
     case.assertEqual(admit(made, old).outcome, data.Outcome.UNKNOWN)
-    case.assertIsNone(admit(made, make_id(since + home.SKEW_MS + 1)))
+    case.assertIsNone(
+        admit(made, make_id(since + at_most_once.MAX_SKEW_MS + 1))
+    )
 
 
 def test_id_whose_home_did_not_change_goes_on(case):
@@ -137,7 +139,7 @@
 def test_restarted_side_does_not_run_what_it_may_have_run(case):
     made, now = make_home('vm-0')
     request = make_id(now.read_unix_ms())
-    again = home.Home('vm-0', FakeGuard(), now)
+    again = at_most_once.AtMostOncePolicy('vm-0', FakeGuard(), now)
     again.take_update(make_update('vm-0'), 1)
     case.assertEqual(admit(again, request).outcome, data.Outcome.UNKNOWN)
 
@@ -145,22 +147,22 @@
 def test_ids_from_the_future_and_the_far_past_are_not_run(case):
     made, now = make_home('vm-0')
     now.advance(10_000)
-    ahead = make_id(now.read_unix_ms() + home.AHEAD_MS + 1)
-    case.assertEqual(admit(made, ahead).reason, home.REASON_FUTURE)
-    old = make_id(now.read_unix_ms() - home.WINDOW_MS - 1)
+    ahead = make_id(now.read_unix_ms() + at_most_once.MAX_AHEAD_MS + 1)
+    case.assertEqual(admit(made, ahead).reason, at_most_once.REASON_FUTURE)
+    old = make_id(now.read_unix_ms() - at_most_once.WINDOW_MS - 1)
     case.assertEqual(admit(made, old).outcome, data.Outcome.UNKNOWN)
 
 
 def test_memory_is_bounded_and_refuses_before_it_forgets(case):
     made, now = make_home('vm-0')
-    with mock.patch.object(home, 'MAX_IDS', 10):
+    with mock.patch.object(at_most_once, 'MAX_IDS', 10):
         requests = [make_id(now.read_unix_ms(), n) for n in range(11)]
         verdicts = [admit(made, request) for request in requests]
         case.assertEqual(verdicts[:10], [None] * 10)
-        case.assertEqual(verdicts[10].reason, home.REASON_FULL)
+        case.assertEqual(verdicts[10].reason, at_most_once.REASON_FULL)
         for request in requests[:10]:
             made.record(request, ANSWERED)
-        now.advance(home.WINDOW_MS / 1000 + 1)
+        now.advance(at_most_once.WINDOW_MS / 1000 + 1)
         case.assertIsNone(admit(made, make_id(now.read_unix_ms())))
 
 
--- a/packages/side/portwharf/side/saves_test.py
+++ b/packages/side/portwharf/side/checkpoints_test.py
@@ -3,7 +3,7 @@
 """What runs goes on from its last save when its VM is lost."""
 
 from portwharf.core import data
-from portwharf.side import saves
+from portwharf.side import checkpoints
 from portwharf.testing import cluster
 from portwharf import workers
 
@@ -13,44 +13,44 @@
     return workers.Attempt('job.0.0.0', 1, state, checkpoint)
 
 
-def list_due(teller, checkpoint, now, **fields):
+def list_due(reporter, checkpoint, now, **fields):
     """Return the saves that are due of one attempt."""
     attempt = make_attempt(checkpoint, **fields)
-    return [one.checkpoint for one in teller.list_due([attempt], now)]
+    return [one.checkpoint for one in reporter.list_due([attempt], now)]
 
 
 def test_save_is_told_once(case):
-    teller = saves.SaveTeller()
-    case.assertEqual(list_due(teller, '', 0.0), [])
-    case.assertEqual(list_due(teller, 'a', 0.5), [])
-    case.assertEqual(list_due(teller, 'a', 1.0), ['a'])
-    case.assertEqual(list_due(teller, 'a', 9.0), [])
+    reporter = checkpoints.CheckpointReporter()
+    case.assertEqual(list_due(reporter, '', 0.0), [])
+    case.assertEqual(list_due(reporter, 'a', 0.5), [])
+    case.assertEqual(list_due(reporter, 'a', 1.0), ['a'])
+    case.assertEqual(list_due(reporter, 'a', 9.0), [])
 
 
 def test_saves_are_told_ever_more_seldom(case):
-    teller = saves.SaveTeller()
+    reporter = checkpoints.CheckpointReporter()
     told = [
         now
         for now in range(1000)
-        if list_due(teller, f'save {now}', float(now))
+        if list_due(reporter, f'save {now}', float(now))
     ]
     case.assertEqual(told[:5], [1, 2, 3, 4, 5])
     case.assertLess(len(told), 40)
 
 
 def test_what_has_ended_is_not_told(case):
-    teller = saves.SaveTeller()
+    reporter = checkpoints.CheckpointReporter()
     ended = data.RunState.SUCCEEDED
-    list_due(teller, 'a', 0.0)
-    case.assertEqual(list_due(teller, 'b', 5.0, state=ended), [])
+    list_due(reporter, 'a', 0.0)
+    case.assertEqual(list_due(reporter, 'b', 5.0, state=ended), [])
 
 
 def test_another_owner_is_told_again(case):
-    teller = saves.SaveTeller()
-    list_due(teller, 'a', 0.0)
-    list_due(teller, 'a', 1.0)
-    teller.forget_told()
-    case.assertEqual(list_due(teller, 'a', 2.0), ['a'])
+    reporter = checkpoints.CheckpointReporter()
+    list_due(reporter, 'a', 0.0)
+    list_due(reporter, 'a', 1.0)
+    reporter.forget_reported()
+    case.assertEqual(list_due(reporter, 'a', 2.0), ['a'])
 
 
 def list_resumed(made):
--- a/packages/side/portwharf/side/crashes.py
+++ b/packages/side/portwharf/side/crashes.py
@@ -1,77 +1,85 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side saw of its worker's crashes, and of what ran there then.
+"""Detects worker crashes and records which attempts they ended.
 
-An attempt is gone for many reasons: its lease ran out, nobody knew of its
-start, its worker was taken away as planned, or the worker crashed under it.
-Only the side can tell them apart, and only while it lives: one that has just
-started has seen no crash.
+An attempt can be gone for several reasons: its lease expired, its start was
+not known, its worker left as planned, or its worker crashed. Only the side can
+tell these apart, and only while its process lives: a restarted side knows of
+no earlier crash.
 """
 
 import dataclasses
 
 from portwharf.core import recent
 
-# Attempts whose start, or end by a crash, is remembered.
+# Attempts whose start or crash is remembered.
 MAX_ATTEMPTS = 20_000
-# How long an attempt had run is not known, or not whether it had begun.
+# ``ran_ms`` of an attempt whose start was not confirmed to this side process.
 UNKNOWN = -1
 _MS = 1000
 
 
 @dataclasses.dataclass(slots=True)
 class Crash:
-    """A crash of the worker, as it concerns one attempt.
+    """A crash of the worker, as seen by one attempt.
 
-    :param name: which crash it was, among those of this VM
-    :param ran_ms: how long before it was seen the attempt's start was
-        answered, in ms, or ``UNKNOWN``
+    :param name: identifies the crash among those of this VM
+    :param ran_ms: time from the confirmed start of the attempt to the
+        detection of the crash, in ms, or ``UNKNOWN``
     """
 
     name: str = ''
     ran_ms: int = UNKNOWN
 
 
-class CrashWatch:
-    """The crashes of one worker, for the agent's thread."""
+class CrashTracker:
+    """Tracks the crashes of one worker; used only by the agent's thread."""
 
     def __init__(self):
         self._starts = recent.Recent(MAX_ATTEMPTS)
         self._crashes = recent.Recent(MAX_ATTEMPTS)
-        # The ``data.LifeId`` that was there at the last look, or None; and
-        # whether it had said that it would leave.
+        # The ``data.LifeId`` of the worker's incarnation at the last poll, or
+        # None, and whether it was draining.
         self._life = None
-        self._leaving = False
+        self._was_draining = False
 
-    def note_start(self, name, now):
-        """Note that the worker has answered an attempt's start.
+    def record_start(self, name, now):
+        """Record that the worker has confirmed the start of an attempt.
 
         :param name: (task, attempt)
         """
         self._starts.put(name, now)
 
-    def look(self, listing):
-        """Take what the worker shows of itself.
+    def detect_crash(self, listing):
+        """Compare a ``workers.Listing`` with the previous one.
 
-        :returns: whether the life that was there before has crashed
+        :returns: whether the worker's previous incarnation has crashed
         """
-        former, leaving = self._life, self._leaving
+        previous, was_draining = self._life, self._was_draining
         known = bool(listing.life.instance) and not listing.absent
         self._life = listing.life if known else None
-        self._leaving = listing.draining
-        return former is not None and former != self._life and not leaving
+        self._was_draining = listing.draining
+        return (
+            previous is not None
+            and previous != self._life
+            and not was_draining
+        )
 
-    def note_crash(self, life, names, now):
-        """Note what may have run in a life that has crashed.
+    def record_crash(self, life, names, now):
+        """Record the attempts that may have run when the worker crashed.
 
-        :param life: its ``data.LifeId``
+        :param life: the ``data.LifeId`` of the crashed incarnation
         :param names: attempts as (task, attempt)
         :returns: the crash's name
         """
         crash = life.name or str(int(now * _MS))
         for name in names:
-            began = self._starts.get(name)
-            ran_ms = UNKNOWN if began is None else int((now - began) * _MS)
+            started_at = self._starts.get(name)
+            ran_ms = (
+                UNKNOWN
+                if started_at is None
+                else int((now - started_at) * _MS)
+            )
             self._crashes.put(name, Crash(crash, ran_ms))
         return crash
 
--- a/packages/side/portwharf/side/crashes_test.py
+++ b/packages/side/portwharf/side/crashes_test.py
@@ -147,11 +147,11 @@
 
 
 def test_first_look_at_a_worker_shows_no_crash(case):
-    watch = crashes.CrashWatch()
+    watch = crashes.CrashTracker()
     listing = workers.Listing(life=FIRST)
-    case.assertFalse(watch.look(listing))
-    case.assertFalse(watch.look(listing))
-    case.assertTrue(watch.look(workers.Listing(absent=True)))
-    case.assertFalse(watch.look(workers.Listing(absent=True)))
+    case.assertFalse(watch.detect_crash(listing))
+    case.assertFalse(watch.detect_crash(listing))
+    case.assertTrue(watch.detect_crash(workers.Listing(absent=True)))
+    case.assertFalse(watch.detect_crash(workers.Listing(absent=True)))
     listing.life = SECOND
-    case.assertFalse(watch.look(listing))
+    case.assertFalse(watch.detect_crash(listing))
--- a/packages/side/portwharf/side/doubts.py
+++ b/packages/side/portwharf/side/doubts.py
@@ -1,14 +1,14 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Orders to a worker that got no clear answer, until one is found.
-
-A start without an answer may have been carried out, or may be seconds
-later. It is followed by a stop of the same attempt: once a worker has
-answered that, the attempt runs no more, and a start that arrives later is
-refused. Only then is the owner told that the attempt is gone; or when no
-lease that it was sent with can run, or nothing is there to run it: a worker
-that never answers a stop must not be waited for. A stop is sent again until
-the listing shows the attempt ended, or no more.
+"""Tracks starts and stops that the worker has not confirmed.
+
+A start without an answer may have been carried out, or may be seconds later.
+The side therefore sends a stop of the same attempt: once the worker has
+confirmed the stop, the attempt does not run, and a delayed start of it is
+refused. Only then is the owner told that the attempt is gone. If the worker
+does not answer stops either, the owner is told once every lease has expired or
+the worker is known to be absent. A stop is sent again until the listing shows
+that the attempt has ended.
 """
 
 import logging
@@ -19,66 +19,67 @@
 
 LOG = logging.getLogger(__name__)
 
-# Attempts begun here that are remembered, by task.
-MAX_BEGUN = 20_000
-# How long a stop has to show an effect before it is sent again.
-STOP_AGAIN_SECONDS = 0.6
+# Tasks whose highest started attempt is remembered.
+MAX_STARTED = 20_000
+# Time for a stop to take effect before it is sent again.
+STOP_RETRY_SECONDS = 0.6
 
 
 class Doubts:
-    """What the side still has to find out from its worker."""
+    """Starts and stops that the worker has not confirmed yet."""
 
     def __init__(self):
-        # What each start takes, by (task, attempt); the one asked about
-        # last comes last.
+        # The ``data.Resources`` of each unconfirmed start, by (task, attempt),
+        # in the order in which stops are sent.
         self._starts = {}
-        # Attempts to be stopped: whether to save them, and when last asked.
+        # For each attempt to stop, by (task, attempt): whether to checkpoint
+        # it, and when the stop was last sent, or None.
         self._stops = {}
-        # Tasks with the highest attempt that was begun here.
-        self._begun = recent.Recent(MAX_BEGUN)
+        # The highest attempt of each task that may have started here.
+        self._started = recent.Recent(MAX_STARTED)
 
-    def note_begun(self, task, attempt):
-        """Remember that an attempt may have begun here."""
-        self._begun.put(task, max(attempt, self._begun.get(task, 0)))
+    def record_start(self, task, attempt):
+        """Record that an attempt may have started here."""
+        self._started.put(task, max(attempt, self._started.get(task, 0)))
 
     def has_begun(self, task, attempt):
-        """Tell whether an attempt, or a later one, began here before."""
-        return attempt <= self._begun.get(task, 0)
+        """Tell whether an attempt, or a later one, may have started here."""
+        return attempt <= self._started.get(task, 0)
 
-    def doubt_start(self, task, attempt, size):
-        """Note that nobody knows whether a start was carried out.
+    def add_start(self, task, attempt, size):
+        """Record a start that the worker has not confirmed.
 
-        :param size: the ``data.Resources`` that it takes if it was
+        :param size: the ``data.Resources`` that the attempt uses if it runs
         """
         self._starts[(task, attempt)] = size
         extra = logs.fields(task=task, attempt=attempt)
-        LOG.warning('start without a clear answer', extra=extra)
+        LOG.warning('start not confirmed by the worker', extra=extra)
 
-    def is_doubtful(self, task, attempt):
-        """Tell whether a start is still to be found out about."""
+    def is_start_unconfirmed(self, task, attempt):
+        """Tell whether a start of an attempt is still unconfirmed."""
         return (task, attempt) in self._starts
 
-    def want_stop(self, task, attempt, checkpoint):
-        """Have an attempt stopped, as often as it takes."""
+    def add_stop(self, task, attempt, checkpoint):
+        """Have an attempt stopped; the stop is sent until it takes effect."""
         self._stops[(task, attempt)] = (checkpoint, None)
 
     def list_starts(self):
-        """Return the doubtful starts, as a list of (task, attempt)."""
+        """Return the unconfirmed starts, as a list of (task, attempt)."""
         return list(self._starts)
 
-    def sum_sizes(self):
-        """Return what the doubtful starts take if they were carried out."""
+    def sum_resources(self):
+        """Return the resources that all unconfirmed starts may use."""
         used = data.Resources()
         for size in self._starts.values():
             used = used.add(size)
         return used
 
     def settle_starts(self, worker, listing):
-        """Find out about doubtful starts.
+        """Find out which unconfirmed starts will never run.
 
         :param listing: the latest ``workers.Listing``
-        :returns: names of attempts that will never run, as a list of
-            (task, attempt)
+        :returns: names of attempts that will never run, as a list of (task,
+            attempt)
         """
         if listing.absent:
             return self.give_up_starts()
@@ -86,11 +87,11 @@
         stopped = self._stop_starts(worker)
         if not stopped:
             return []
-        # An attempt that ran when the stop came is listed from now on.
-        again = worker.read_listing()
-        if again.is_err():
+        # An attempt that was running when its stop arrived is listed now.
+        polled = worker.read_listing()
+        if polled.is_err():
             return []
-        self._drop_listed(again.ok_value)
+        self._drop_listed(polled.ok_value)
         gone = [name for name in stopped if name in self._starts]
         for name in gone:
             del self._starts[name]
@@ -101,10 +102,12 @@
             self._starts.pop((attempt.task, attempt.attempt), None)
 
     def _stop_starts(self, worker):
-        """Stop what may have begun; returns what was answered.
+        """Send stops for the unconfirmed starts.
 
-        One unanswered stop ends it until the next look: each costs the time
-        that an answer is waited for, and heartbeats wait as long.
+        The first stop without an answer ends the round until the next poll:
+        each costs a full time-out, which delays heartbeats.
+
+        :returns: the confirmed stops, as a list of (task, attempt)
         """
         stopped = []
         for name in list(self._starts):
@@ -115,25 +118,26 @@
         return stopped
 
     def give_up_starts(self):
-        """Return the doubtful starts, none of which can run any more."""
+        """Return and drop the unconfirmed starts, none of which can run."""
         names = sorted(self._starts)
         self._starts.clear()
         return names
 
-    def repeat_stops(self, worker, listing, now):
-        """Send stops that have shown no effect yet, again.
+    def resend_stops(self, worker, listing, now):
+        """Send again the stops that have not taken effect yet.
 
-        One that is not answered ends it until the next look, as above.
+        The first stop without an answer ends the round until the next poll,
+        because each costs a full time-out, which delays heartbeats.
         """
         running = {
             (a.task, a.attempt)
             for a in listing.attempts
             if a.state == data.RunState.RUNNING
         }
-        for name, (checkpoint, asked) in list(self._stops.items()):
+        for name, (checkpoint, sent_at) in list(self._stops.items()):
             if name not in running:
                 del self._stops[name]
-            elif asked is None or now - asked >= STOP_AGAIN_SECONDS:
+            elif sent_at is None or now - sent_at >= STOP_RETRY_SECONDS:
                 del self._stops[name]
                 self._stops[name] = (checkpoint, now)
                 if worker.stop(name[0], name[1], checkpoint).is_err():
--- a/packages/side/portwharf/side/doubts_test.py
+++ b/packages/side/portwharf/side/doubts_test.py
@@ -36,7 +36,7 @@
 def test_unanswered_stops_of_doubtful_starts_are_few_at_a_time(case):
     made, worker = doubts.Doubts(), DeafWorker()
     for task in TASKS:
-        made.doubt_start(task, 1, agent_bench.SIZE)
+        made.add_start(task, 1, agent_bench.SIZE)
     seen = set()
     for _ in TASKS:
         made.settle_starts(worker, workers.Listing())
@@ -54,11 +54,11 @@
     for task in TASKS:
         start = workers.Start(task, 1, resources=agent_bench.SIZE)
         bench.worker.start(start)
-        made.want_stop(task, 1, True)
+        made.add_stop(task, 1, True)
     seen = set()
     for number in range(2 * len(TASKS)):
-        now = number * doubts.STOP_AGAIN_SECONDS
-        made.repeat_stops(worker, listing, now)
+        now = number * doubts.STOP_RETRY_SECONDS
+        made.resend_stops(worker, listing, now)
         sent = worker.take()
         case.assertEqual(len(sent), 1)
         seen.update(sent)
--- a/packages/side/portwharf/side/leases.py
+++ b/packages/side/portwharf/side/leases.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps the leases of what runs on the worker, while there is a grant.
+"""Renews the leases of the attempts on a worker while a grant is valid.
 
-A lease is given as a point in time on the worker's clock. It ends
-``limits.lease`` after the grant that it was renewed under, which is the
-time to save the work in when no new grant comes.
+The end of a lease is a time on the worker's clock. A lease ends
+``limits.lease`` seconds after the grant that it was renewed under, which
+leaves time to save the work if no new grant arrives.
 """
 
 import logging
@@ -20,62 +20,69 @@
 
 
 class LeaseKeeper:
-    """The leases of one worker, for the agent's thread."""
+    """Keeps the leases of one worker; used only by the agent's thread."""
 
-    def __init__(self, worker, guard, cfg, began):
-        """Take the worker, the side's ``Guard`` and its ``Limits``.
+    def __init__(self, worker, guard, cfg, started_at):
+        """Initialise the keeper.
 
-        :param began: our clock when this life of the side began
+        :param worker: the ``workers.Worker``
+        :param guard: the side's ``Guard``
+        :param cfg: ``limits.Limits``
+        :param started_at: start of this side process on the monotonic clock,
+            in seconds
         """
-        self._began = began
+        self._started_at = started_at
         self._worker = worker
         self._guard = guard
         self._limits = cfg
         self._stopped = set()
         self._listing = workers.Listing()
         self._listed_at = 0.0
-        # The latest end that was ever sent, on the worker's clock.
-        self._sent_ms = 0
+        # The latest lease end that was sent, in ms on the worker's clock.
+        self._max_lease_end_ms = 0
 
-    def take_listing(self, listing, listed_at):
-        """Take a listing and the time on our clock just after it."""
+    def update_listing(self, listing, listed_at):
+        """Take a listing and the monotonic time just after it was read."""
         self._listing = listing
         self._listed_at = listed_at
         for attempt in listing.attempts:
-            self._sent_ms = max(self._sent_ms, attempt.lease_until_ms)
+            self._max_lease_end_ms = max(
+                self._max_lease_end_ms, attempt.lease_until_ms
+            )
 
-    def begin_anew(self):
-        """Forget the leases of a worker that has begun anew."""
-        self._sent_ms = 0
+    def reset(self):
+        """Forget the leases sent to an earlier incarnation of the worker."""
+        self._max_lease_end_ms = 0
 
     def have_lapsed(self, now):
-        """Tell whether no lease that was ever sent can still run.
+        """Tell whether every lease that was ever sent has expired.
 
-        What was sent without an answer counts; the worker's clock may be
-        slow by ``limits.DRIFT``.
+        Unanswered renewals count as sent. The worker's clock may be slow by
+        ``limits.DRIFT``.
         """
-        if now - self._began <= self._limits.replace_after_grant:
-            # A former life of the side may have given one at its end.
+        if now - self._started_at <= self._limits.replace_after_grant:
+            # The side's previous process may have granted a lease just before
+            # it ended.
             return False
-        left = (self._sent_ms - self._listing.now_ms) / _MS
+        left = (self._max_lease_end_ms - self._listing.now_ms) / _MS
         return now - self._listed_at > left * (1 + limits.DRIFT)
 
     def compute_end(self):
-        """Return when a lease may end, on the worker's clock, in ms.
+        """Return when a lease may end, in ms on the worker's clock.
 
-        The listing's time is at or before ``listed_at`` on our clock, so
-        that this comes out early and never late.
+        The worker read its clock at or before ``listed_at``, so the result is
+        never too late.
         """
         left = self._guard.granted_until - self._listed_at
         until = self._listing.now_ms + (left + self._limits.lease) * _MS
-        self._sent_ms = max(self._sent_ms, int(until))
+        self._max_lease_end_ms = max(self._max_lease_end_ms, int(until))
         return max(1, int(until))
 
-    def keep(self):
-        """Renew leases under a grant; past it, save and stop.
+    def renew_or_stop(self):
+        """Renew leases under a grant; without one, save and stop.
 
-        A side that has just restarted has no grant yet but often leases
-        with more time left.
+        A side that has just restarted has no grant yet, but its leases often
+        have time left.
         """
         held = [
             a
@@ -89,14 +96,14 @@
             self._stopped.clear()
             self._worker.renew(self.compute_end())
             return
-        self._stop_all(held)
+        self._stop_expiring(held)
 
-    def _stop_all(self, held):
-        """Save and stop what has little of its lease left.
+    def _stop_expiring(self, held):
+        """Save and stop attempts whose leases are about to expire.
 
-        A stop that is not answered ends it until the next look: each costs
-        the time that an answer is waited for, and the beat that would bring
-        a grant waits as long.
+        The first stop without an answer ends the round until the next poll:
+        each costs a full time-out, which delays the heartbeat that could bring
+        a grant.
         """
         for attempt in held:
             name = (attempt.task, attempt.attempt)
@@ -104,7 +111,7 @@
             if name in self._stopped or left > self._limits.lease * _MS:
                 continue
             extra = logs.fields(task=attempt.task, attempt=attempt.attempt)
-            LOG.warning('no grant: stopping', extra=extra)
+            LOG.warning('no grant, stopping attempt', extra=extra)
             answer = self._worker.stop(attempt.task, attempt.attempt, True)
             if answer.is_err():
                 return
--- a/packages/side/portwharf/side/losses.py
+++ b/packages/side/portwharf/side/losses.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Tells the owner of attempts that are gone, and why.
+"""Reports lost attempts to the owner, with the reason.
 
-What is gone runs no more, never will, and has come to nothing: its task has
-to begin again elsewhere, and whether that is wise depends on the reason.
+A lost attempt does not run, never will, and has no result. Its task has to be
+started again, and the owner decides how from the reason.
 """
 
 import logging
@@ -23,63 +23,65 @@
 GONE_UNKNOWN = 'not-known-here'
 
 
-class LossTeller:
-    """What a worker has lost, for the agent's thread."""
+class LossReporter:
+    """Reports a worker's lost attempts; used only by the agent's thread."""
 
     def __init__(self, clock, send):
-        """Take a clock, and a function that sends the owner a message."""
+        """Take a clock, and a function that sends a message to the owner."""
         self._clock = clock
         self._send = send
-        self._crashes = crashes.CrashWatch()
+        self._crashes = crashes.CrashTracker()
 
-    def note_start(self, task, attempt):
-        """Note that the worker has answered an attempt's start."""
+    def record_start(self, task, attempt):
+        """Record that the worker has confirmed the start of an attempt."""
         now = self._clock.read_monotonic()
-        self._crashes.note_start((task, attempt), now)
+        self._crashes.record_start((task, attempt), now)
 
-    def note_listing(self, former, listing, doubtful):
-        """Note what ran, or may have begun, if the worker has crashed.
+    def check_for_crash(self, previous, listing, unconfirmed):
+        """Record a crash of the worker, if the listing shows one.
 
-        :param former: the ``workers.Listing`` before this one
-        :param doubtful: starts without an answer, as (task, attempt)
+        :param previous: the previous ``workers.Listing``
+        :param listing: the latest one
+        :param unconfirmed: unconfirmed starts, as (task, attempt)
         """
-        if not self._crashes.look(listing):
+        if not self._crashes.detect_crash(listing):
             return
-        vanished = sight.list_vanished(former, listing)
+        vanished = sight.list_vanished(previous, listing)
         names = [(one.task, one.attempt) for one in vanished]
-        names += doubtful
+        names += unconfirmed
         now = self._clock.read_monotonic()
-        crash = self._crashes.note_crash(former.life, names, now)
+        crash = self._crashes.record_crash(previous.life, names, now)
         metrics.CRASHES.inc()
         extra = logs.fields(life=crash, count=len(names))
-        LOG.warning('the worker crashed', extra=extra)
+        LOG.warning('worker crashed', extra=extra)
 
-    def tell_vanished(self, former, listing, reason):
-        """Tell of what ran and is not listed any more.
+    def report_vanished(self, previous, listing, reason):
+        """Report attempts that ran and are not listed any more.
 
-        :returns: names of these, as (task, attempt)
+        :returns: their names, as (task, attempt)
         """
-        vanished = sight.list_vanished(former, listing)
+        vanished = sight.list_vanished(previous, listing)
         saved = {(one.task, one.attempt): one.checkpoint for one in vanished}
         for task, attempt in saved:
             extra = logs.fields(task=task, attempt=attempt, reason=reason)
             LOG.warning('attempt is gone', extra=extra)
-        self.tell_gone(list(saved), reason, saved)
+        self.report_gone(list(saved), reason, saved)
         return list(saved)
 
-    def tell_gone(self, names, reason, checkpoints=None):
-        """Tell that attempts do not run and never will, in one message.
+    def report_gone(self, names, reason, checkpoints=None):
+        """Report, in one message, attempts that do not run and never will.
 
-        Which of them a crash is to be blamed on is found from all of them.
+        The owner needs all attempts that a crash ended at once, to find the
+        one that caused it.
 
         :param names: list of (task, attempt)
-        :param checkpoints: what each had saved, by name
+        :param checkpoints: the last checkpoint of each, by name
         """
         if not names:
             return
         saved = checkpoints or {}
         gone = [
-            reports.make_gone(
+            reports.make_gone_report(
                 name, reason, saved.get(name, ''), self._crashes.find(name)
             )
             for name in names
--- a/packages/side/portwharf/side/main.py
+++ b/packages/side/portwharf/side/main.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The ``portwharf-side`` binary: one for each endpoint VM."""
+"""The ``portwharf-side`` command, one process for each endpoint VM."""
 
 import dataclasses
 import signal
@@ -28,7 +28,7 @@
 
 
 def main():
-    """Run until SIGTERM or SIGINT, then stop without cutting work off."""
+    """Run until SIGTERM or SIGINT, then shut down gracefully."""
     arguments = cappa.parse(Arguments)
     read = settings.read_settings(arguments.settings)
     if read.is_err():
--- a/packages/side/portwharf/side/metrics.py
+++ b/packages/side/portwharf/side/metrics.py
@@ -1,19 +1,19 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The metrics of a side, for Prometheus."""
+"""The Prometheus metrics of a side."""
 
 import prometheus_client
 
-PACES = prometheus_client.Counter(
+THROTTLE_COMMANDS = prometheus_client.Counter(
     'portwharf_side_paces',
     'Orders to work at a share, by whether the worker took them.',
     ['outcome'],
 )
-STRANGERS = prometheus_client.Gauge(
+UNKNOWN_ATTEMPTS = prometheus_client.Gauge(
     'portwharf_side_strangers',
     'Running attempts that this side knows nothing of.',
 )
-OVER_TARGET = prometheus_client.Counter(
+POLLS_OVER_TARGET = prometheus_client.Counter(
     'portwharf_side_over_target_polls',
     'Polls at which a serving task was over its target.',
 )
--- a/packages/side/portwharf/side/outside.py
+++ b/packages/side/portwharf/side/outside.py
@@ -1,9 +1,8 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side meets outside: store, list of VMs, worker, configuration.
+"""The external services of a side: store, VM list, worker and policy.
 
-A side is the same whatever platform it runs on; what it is put together
-with is given by an :class:`Outside`.
+An :class:`Outside` adapts a side to the platform that it runs on.
 """
 
 import abc
@@ -16,10 +15,10 @@
 
 
 class Outside(abc.ABC):
-    """Opens what a side works with, each as a context manager."""
+    """Opens a side's external services, each as a context manager."""
 
-    # The key that the operators' configuration is under, and what the keys
-    # of closed availability zones begin with.
+    # Key of the operators' configuration, and key prefix of the closed
+    # availability zones.
     config_key = configuration.KEY
     zones_prefix = zones.PREFIX
 
@@ -29,7 +28,10 @@
 
     @abc.abstractmethod
     def open_vm_list(self, kv):
-        """Return the ``vmlist.VmList``, given the opened store."""
+        """Return the ``vmlist.VmList``.
+
+        :param kv: the opened store
+        """
 
     @abc.abstractmethod
     def open_worker(self):
@@ -40,7 +42,7 @@
         return None
 
     def parse_config(self, text, revision):
-        """Read and check a configuration's text.
+        """Parse and check the text of a configuration.
 
         :returns: Ok(Configuration), or Err(list of Problems)
         """
@@ -48,23 +50,23 @@
 
 
 class SettingsOutside(Outside):
-    """What the settings of ``portwharf-side`` name."""
+    """Opens the services named in the settings of ``portwharf-side``."""
 
     def __init__(self, cfg):
         """Take checked ``settings.SideSettings``."""
         self._cfg = cfg
 
     def open_store(self, clock):
-        place = self._cfg.store
-        gateway = store.open_etcd(place.address, place.port)
+        endpoint = self._cfg.store
+        gateway = store.open_etcd(endpoint.address, endpoint.port)
         return store.BudgetedStore(gateway, clock)
 
     def open_vm_list(self, kv):
-        place = self._cfg.vm_list
-        return vmlist.HttpVmList(place.address, place.port)
+        endpoint = self._cfg.vm_list
+        return vmlist.HttpVmList(endpoint.address, endpoint.port)
 
     def open_worker(self):
-        place = self._cfg.worker
-        if place is None:
+        endpoint = self._cfg.worker
+        if endpoint is None:
             return None
-        return workers.HttpWorker(place.address, place.port)
+        return workers.HttpWorker(endpoint.address, endpoint.port)
--- /dev/null
+++ b/packages/side/portwharf/side/pace_controller.py
@@ -0,0 +1,56 @@
+# Copyright the portwharf authors.
+# SPDX-License-Identifier: Apache-2.0
+"""Applies the planned CPU shares of tasks on the worker.
+
+The controller takes the owner's descriptions of the tasks on the VM and sends
+throttle commands to the worker. A command without an answer leaves the share
+unknown, and is sent again.
+"""
+
+from portwharf.side import pacing
+from portwharf.side import reports
+
+
+class PaceController:
+    """Controls the CPU shares on one worker; used by the agent's thread."""
+
+    def __init__(self, worker):
+        """Take the worker, or None."""
+        self._worker = worker
+        self.pacer = pacing.Pacer()
+
+    def record_held(self, message):
+        """Record a ``messages.HeldTasks``: all tasks that the VM holds."""
+        self.pacer.record_all_held(message.tasks)
+        if self._worker is None:
+            return
+        for held in message.tasks:
+            self._worker.recall(reports.make_recall_start(held))
+
+    def throttle(self, message):
+        """Carry out a ``messages.ThrottleTask``.
+
+        For a filling task, the pacer's next plan replaces this share.
+        """
+        self._worker.throttle(message.task, message.attempt, message.percent)
+        self.pacer.forget_sent(message)
+
+    def apply_plan(self, listing, now, now_ms=0):
+        """Throttle filling tasks to protect serving ones, and release them.
+
+        :param listing: a ``workers.Listing``, just read
+        :param now_ms: Unix time, to which the due times of jobs refer
+        """
+        due = self.pacer.plan(listing, now, now_ms)
+        while due:
+            pace = due.pop(0)
+            paced = self._worker.throttle(
+                pace.task, pace.attempt, pace.percent
+            )
+            self.pacer.log.record_throttle(pace, paced, now)
+            if paced.is_err():
+                # Further commands could time out as well, which delays the
+                # heartbeat.
+                for one in (pace, *due):
+                    self.pacer.forget_sent(one)
+                return
--- a/packages/side/portwharf/side/paces_test.py
+++ b/packages/side/portwharf/side/pace_controller_test.py
@@ -6,7 +6,7 @@
 
 from portwharf.core import data
 from portwharf.peers import messages
-from portwharf.side import paces
+from portwharf.side import pace_controller
 from portwharf.testing import agent_bench
 from portwharf import workers
 
@@ -31,17 +31,17 @@
         self.recalled.append(start)
 
 
-def make_keeper(count=3):
+def make_controller(count=3):
     """Return a keeper that knows a server and tasks that fill."""
     worker = SlowWorker()
-    keeper = paces.PaceKeeper(worker)
+    controller = pace_controller.PaceController(worker)
     held = [messages.HeldTask('s.0', 1, program='desk', target_ms=20)]
     for number in range(count):
         one = messages.HeldTask(f'f.{number}', 1, resources=SIZE)
         one.fill_milli = 500
         held.append(one)
-    keeper.take_held(messages.HeldTasks(held))
-    return keeper, worker
+    controller.record_held(messages.HeldTasks(held))
+    return controller, worker
 
 
 def make_listing(tail_ms=30, count=3):
@@ -54,37 +54,37 @@
 
 
 def test_worker_is_told_the_sizes_of_what_a_former_side_began(case):
-    _, worker = make_keeper()
+    _, worker = make_controller()
     sizes = {one.task: one.resources for one in worker.recalled}
     case.assertEqual(sizes['f.0'], SIZE)
     case.assertEqual(len(sizes), 4)
 
 
 def test_first_order_that_is_lost_ends_the_round(case):
-    keeper, worker = make_keeper()
+    controller, worker = make_controller()
     worker.answer = result.Err('timed out')
-    keeper.keep(make_listing(), 0.0)
+    controller.apply_plan(make_listing(), 0.0)
     case.assertEqual(len(worker.orders), 1)
 
 
 def test_all_orders_are_given_again_after_a_lost_one(case):
-    keeper, worker = make_keeper()
+    controller, worker = make_controller()
     worker.answer = result.Err('timed out')
-    keeper.keep(make_listing(), 0.0)
+    controller.apply_plan(make_listing(), 0.0)
     worker.answer = result.Ok(None)
     worker.orders.clear()
-    keeper.keep(make_listing(), 0.4)
+    controller.apply_plan(make_listing(), 0.4)
     case.assertEqual(
         {task for task, _ in worker.orders}, {'f.0', 'f.1', 'f.2'}
     )
 
 
 def test_owners_order_does_not_undo_the_share_of_what_fills(case):
-    keeper, worker = make_keeper(1)
-    keeper.keep(make_listing(30, 1), 0.0)
-    keeper.throttle(messages.ThrottleTask(1, 'f.0', 1, 100))
+    controller, worker = make_controller(1)
+    controller.apply_plan(make_listing(30, 1), 0.0)
+    controller.throttle(messages.ThrottleTask(1, 'f.0', 1, 100))
     worker.orders.clear()
-    keeper.keep(make_listing(30, 1), 0.4)
+    controller.apply_plan(make_listing(30, 1), 0.4)
     ((task, percent),) = worker.orders
     case.assertEqual(task, 'f.0')
     case.assertLess(percent, 100)
--- a/packages/side/portwharf/side/pacing.py
+++ b/packages/side/portwharf/side/pacing.py
@@ -1,13 +1,17 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Paces what fills a VM, so that what serves on it keeps its targets.
-
-A reflex of the side, within a poll of the measurement: what the owner
-would hear a heartbeat later comes too late for a load that swings within
-seconds. By what is known of each pair (``decisions.presses``) the room that
-each server has under its target is given to filling tasks, those first that
-end a job for the least of it (``decisions.precedence``). A brake on all of
-them makes up for what is not known yet.
+"""Throttles filling tasks so that serving tasks meet their targets.
+
+Serving tasks have a target for their tail latency; filling tasks are batch
+work on the remaining capacity of the same VM. The side throttles within one
+poll of a measurement, because the owner, which hears of it a heartbeat later,
+would be too slow for load that changes within seconds.
+
+The interference of each pair of images (``decisions.presses``) tells how much
+filling work fits within the latency headroom of each serving task. The
+headroom goes first to those tasks that finish a job for the least of it
+(``decisions.precedence``). A throttle factor on all filling tasks makes up for
+interference that is not known yet.
 """
 
 import collections
@@ -18,36 +22,37 @@
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import precedence
 from portwharf.scheduler.decisions import presses
-from portwharf.side import pacelog
+from portwharf.side import pacing_log
 from portwharf.side import traits
 
 FULL = 100
-# Tails are steered to this share of their targets; what a load swings by
-# between two polls has to fit above it.
-AIM = 0.85
-# A tail above this share of its target pulls the brake.
-_OVER = 1.0
-_BRAKE_FACTOR = 0.5
-_RELEASE_STEP = 0.2
-# The least that a filling task works at: it has to end some day.
+# Share of the target that tail latency is steered to. The rest absorbs load
+# changes between two polls.
+TARGET_SHARE = 0.85
+# Tail latency, as a share of the target, above which the throttle factor is
+# lowered.
+_MAX_TARGET_RATIO = 1.0
+_THROTTLE_BACKOFF = 0.5
+_THROTTLE_RECOVERY = 0.2
+# The least share of a filling task, in percent, so that it ends eventually.
 LEAST = 3
-# After so long over its target a server has what fills stand still, in
-# seconds: several at the least still press, and a brake needs three polls
-# of 0.4 s to bring them there. Harm counts from 4 s on.
-STILL_SECONDS = 1.2
-# Less than this is not worth a call.
-_LEAST_CHANGE = 4
-# Tails are measured over half a second; nearer samples overlap.
+# Filling tasks are suspended after a serving task has been over its target for
+# this long, because several tasks at ``LEAST`` still interfere. The throttle
+# factor needs three polls to reach that.
+SUSPEND_AFTER_SECONDS = 1.2
+# Smaller changes, in percent, are not sent.
+_MIN_CHANGE = 4
+# Tail latency is measured over half a second; closer samples overlap.
 SAMPLE_SECONDS = 0.5
-# Smaller changes of the processors in use say too little.
-_LEAST_OBSERVED = 0.02
-# Kept while there is no owner to tell.
+# Smaller changes of the CPU share in use are not significant.
+_MIN_OBSERVED = 0.02
+# Observations kept while there is no owner to send them to.
 MAX_OBSERVED = 50
 
 
 @dataclasses.dataclass(slots=True)
 class Pace:
-    """Let an attempt work at this share, in percent."""
+    """Run an attempt at this CPU share, in percent."""
 
     task: str = ''
     attempt: int = 0
@@ -56,10 +61,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Sample:
-    """What was measured at one time.
+    """The measurements of one time.
 
-    :param tails: logarithm of the tail, by serving attempt
-    :param used: share of the processors, by filling image
+    :param at: monotonic time, in seconds
+    :param tails: logarithm of the tail latency, by serving attempt
+    :param used: share of the VM's CPU in use, by filling image
     """
 
     at: float = 0.0
@@ -68,112 +74,117 @@
 
 
 class Pacer:
-    """The shares that what fills one VM works at."""
+    """Plans the CPU shares of the filling tasks on one VM."""
 
     def __init__(self):
         self.presses = presses.Presses()
-        self._traits = traits.Traits()
-        # The shares that attempts were told to work at, in percent; None
-        # where a former side, or an order without an answer, may have set
-        # another.
-        self._told = {}
-        # How much of each attempt is done, in percent.
-        self._done = {}
-        self._brake = 1.0
-        # Since when a server has been over its target on end, or None.
+        self._traits = traits.TraitsCache()
+        # The share that each attempt was last set to, in percent; None where a
+        # previous side process or an unanswered command may have set another.
+        self._sent = {}
+        # The progress of each attempt, in percent.
+        self._progress = {}
+        self._throttle_factor = 1.0
+        # Since when a serving task has been over its target, or None.
         self._over_since = None
         self._sample = None
         self._headrooms = []
         self._observed = []
-        self._owner_knows = True
-        self.log = pacelog.PaceLog()
+        self._owner_informed = True
+        self.log = pacing_log.PacingLog()
 
     def note_start(self, message):
-        """Take a task from the ``messages.StartTask`` that begins it."""
-        self._traits.note(message)
+        """Take a task from the ``messages.StartTask`` that starts it."""
+        self._traits.record(message)
 
     def note_held(self, held):
-        """Take a ``messages.HeldTask``, which may have begun long ago.
+        """Take a ``messages.HeldTask``, which may have started long ago.
 
-        If it was begun by a former side, its share has to be set anew.
+        If a previous side process started it, its share is unknown.
         """
-        if self._traits.note(held):
-            self._told[(held.task, held.attempt)] = None
+        if self._traits.record(held):
+            self._sent[(held.task, held.attempt)] = None
 
-    def note_all_held(self, tasks):
-        """Take all that the VM holds, a list of ``messages.HeldTask``."""
+    def record_all_held(self, tasks):
+        """Take all tasks on the VM, a list of ``messages.HeldTask``."""
         for held in tasks:
             self.note_held(held)
-        self._traits.note_all()
+        self._traits.record_all_described()
 
     @property
-    def runs_strangers(self):
-        """Whether something runs here whose size nobody has told."""
-        return bool(self._traits.strangers)
+    def has_unknown_attempts(self):
+        """Whether an attempt of unknown size runs here."""
+        return bool(self._traits.unknown)
 
-    def note_owner(self):
-        """Note a new connection to an owner, maybe one that knows nothing."""
-        self._owner_knows = False
+    def record_new_owner(self):
+        """Record a new owner connection, whose owner may know nothing yet."""
+        self._owner_informed = False
 
     def take_known(self):
-        """Return what is known of pairs if the owner has not been told."""
-        if self._owner_knows:
+        """Return the known interference, once for each owner connection.
+
+        :returns: list of ``messages.Press``
+        """
+        if self._owner_informed:
             return []
-        self._owner_knows = True
+        self._owner_informed = True
         return self.presses.list_all()
 
     def list_headrooms(self):
-        """Return the ``messages.Headroom`` of each image that serves."""
+        """Return the ``messages.Headroom`` of each serving image."""
         return self._headrooms
 
     def plan(self, listing, now, now_ms=0):
         """Return the :class:`Pace` changes that are due.
 
         :param listing: a ``workers.Listing``, just read
-        :param now_ms: wall time, for which jobs are late
+        :param now: monotonic time, in seconds
+        :param now_ms: Unix time, to which the due times of jobs refer
         """
         running = [
             a for a in listing.attempts if a.state == data.RunState.RUNNING
         ]
-        self._traits.use(running)
+        self._traits.set_running(running)
         filling = [a for a in running if self._traits.find(a).fill_milli]
         targeted = [a for a in running if self._traits.find(a).target_ms]
         serving = [a for a in targeted if a.tail_ms > 0]
-        fresh = [a for a in targeted if not a.tail_ms]
-        self._done = {(a.task, a.attempt): a.percent for a in filling}
+        unmeasured = [a for a in targeted if not a.tail_ms]
+        self._progress = {(a.task, a.attempt): a.percent for a in filling}
         cores = max(1, listing.capacity.cpu_milli)
         self._observe(serving, filling, cores, now)
         self._pull_brake(serving, bool(filling), now)
-        self._tell(serving, filling, now)
+        self._log_state(serving, filling, now)
         used = self._sum_used(filling, cores)
-        rooms = self._find_rooms(serving, used)
-        for one in fresh:
+        headrooms = self._compute_headrooms(serving, used)
+        for one in unmeasured:
             image = self._traits.find(one).image
-            room = rooms.get(image, presses.FRESH_ROOM)
-            rooms[image] = min(presses.FRESH_ROOM, room)
-        self._note_headrooms(serving)
-        wanted = self._share_out(filling, rooms, cores, now_ms)
+            headroom = headrooms.get(image, presses.FRESH_ROOM)
+            headrooms[image] = min(presses.FRESH_ROOM, headroom)
+        self._record_headrooms(serving)
+        wanted = self._assign_shares(filling, headrooms, cores, now_ms)
         if self._stands_still(now):
             wanted = dict.fromkeys(wanted, 0)
         return self._list_changes(filling, wanted)
 
-    def _tell(self, serving, filling, now):
-        """Have the log tell of strangers, and of targets missed."""
-        self.log.note_strangers(self._traits.strangers)
-        worst = max(serving, key=self._find_strain, default=None)
+    def _log_state(self, serving, filling, now):
+        """Log unknown attempts and missed targets."""
+        self.log.report_unknown(self._traits.unknown)
+        worst = max(serving, key=self._compute_target_ratio, default=None)
         target_ms = self._traits.find(worst).target_ms if worst else 0
-        self.log.note_worst(worst, target_ms, self._brake, len(filling), now)
+        self.log.record_tail(
+            worst, target_ms, self._throttle_factor, len(filling), now
+        )
 
-    def _find_strain(self, attempt):
-        """Return a serving attempt's tail as a share of its target."""
+    def _compute_target_ratio(self, attempt):
+        """Return a serving attempt's tail latency as a share of its target."""
         return attempt.tail_ms / self._traits.find(attempt).target_ms
 
-    def forget_told(self, pace):
-        """Note that nobody knows whether a change was made."""
-        self._told[(pace.task, pace.attempt)] = None
+    def forget_sent(self, pace):
+        """Record that the share of an attempt is unknown."""
+        self._sent[(pace.task, pace.attempt)] = None
 
     def _sum_used(self, filling, cores):
-        """Return the share of the processors used by filling image."""
+        """Return the share of the VM's CPU that each filling image uses."""
         used = collections.defaultdict(float)
         for one in filling:
             image = self._traits.find(one).image
@@ -181,44 +192,48 @@
         return used
 
     def take_observed(self):
-        """Return what was observed since the last time."""
+        """Return the observations since the last call.
+
+        :returns: list of ``messages.PressObserved``
+        """
         observed, self._observed = self._observed, []
         return observed
 
     def list_paced(self):
-        """Return the ``messages.PacedTask`` of what works at less."""
+        """Return the ``messages.PacedTask`` of each throttled attempt."""
         return [
-            messages.PacedTask(*name, percent, self._done.get(name, 0))
-            for name, percent in self._told.items()
+            messages.PacedTask(*name, percent, self._progress.get(name, 0))
+            for name, percent in self._sent.items()
             if percent is not None and percent < FULL
         ]
 
     def _observe(self, serving, filling, cores, now):
-        """Note what changed since the last sample, for the owner."""
-        former = self._sample
-        if former is not None and now - former.at < SAMPLE_SECONDS:
+        """Record what changed since the last sample, for the owner."""
+        previous = self._sample
+        if previous is not None and now - previous.at < SAMPLE_SECONDS:
             return
         sample = _Sample(now, {}, self._sum_used(filling, cores))
         for one in serving:
             name = (one.task, one.attempt)
             sample.tails[name] = math.log(one.tail_ms)
         self._sample = sample
-        if former is None or now - former.at > 2 * SAMPLE_SECONDS:
+        if previous is None or now - previous.at > 2 * SAMPLE_SECONDS:
             return
-        images = set(former.used) | set(sample.used)
+        images = set(previous.used) | set(sample.used)
         differences = [
             messages.FillChange(
-                image, sample.used.get(image, 0.0) - former.used.get(image, 0)
+                image,
+                sample.used.get(image, 0.0) - previous.used.get(image, 0),
             )
             for image in images
         ]
-        if sum(abs(one.share) for one in differences) < _LEAST_OBSERVED:
+        if sum(abs(one.share) for one in differences) < _MIN_OBSERVED:
             return
         growths = collections.defaultdict(list)
         for one in serving:
             name = (one.task, one.attempt)
-            if name in former.tails:
-                growth = sample.tails[name] - former.tails[name]
+            if name in previous.tails:
+                growth = sample.tails[name] - previous.tails[name]
                 growths[self._traits.find(one).image].append(growth)
         for image, rows in growths.items():
             mean = sum(rows) / len(rows)
@@ -228,77 +243,87 @@
         del self._observed[:-MAX_OBSERVED]
 
     def _pull_brake(self, serving, filled, now):
-        worst = max(map(self._find_strain, serving), default=0.0)
-        if worst <= _OVER or not filled:
+        worst = max(map(self._compute_target_ratio, serving), default=0.0)
+        if worst <= _MAX_TARGET_RATIO or not filled:
             self._over_since = None
-            self._brake = min(1.0, self._brake + _RELEASE_STEP)
+            self._throttle_factor = min(
+                1.0, self._throttle_factor + _THROTTLE_RECOVERY
+            )
             return
         if self._over_since is None:
             self._over_since = now
-        self._brake = max(LEAST / FULL, self._brake * _BRAKE_FACTOR)
+        self._throttle_factor = max(
+            LEAST / FULL, self._throttle_factor * _THROTTLE_BACKOFF
+        )
 
     def _stands_still(self, now):
-        """Tell whether what fills has to stand still for now."""
+        """Tell whether all filling tasks have to be suspended."""
         since = self._over_since
-        return since is not None and now - since >= STILL_SECONDS
+        return since is not None and now - since >= SUSPEND_AFTER_SECONDS
 
-    def _find_rooms(self, serving, used):
-        """Return how much each serving image bears in all, by image.
+    def _compute_headrooms(self, serving, used):
+        """Return the headroom of each serving image without filling tasks.
 
-        :returns: map of image to growth of the logarithm of its tail over
-            what it would be with nothing that fills beside it
+        :returns: map of image to the growth of the logarithm of its tail
+            latency that still meets the target
         """
-        rooms = {}
+        headrooms = {}
         for one in serving:
             trait = self._traits.find(one)
-            pressed = sum(
+            interference = sum(
                 self.presses.find(trait.image, image) * share
                 for image, share in used.items()
             )
-            free = math.log(AIM * trait.target_ms / one.tail_ms)
-            room = max(0.0, free + pressed)
-            rooms[trait.image] = min(room, rooms.get(trait.image, room))
-        return rooms
+            margin = math.log(TARGET_SHARE * trait.target_ms / one.tail_ms)
+            headroom = max(0.0, margin + interference)
+            headrooms[trait.image] = min(
+                headroom, headrooms.get(trait.image, headroom)
+            )
+        return headrooms
 
-    def _note_headrooms(self, serving):
+    def _record_headrooms(self, serving):
         left = {}
         for one in serving:
             trait = self._traits.find(one)
-            room = math.log(AIM * trait.target_ms / one.tail_ms)
-            left[trait.image] = min(room, left.get(trait.image, room))
+            headroom = math.log(TARGET_SHARE * trait.target_ms / one.tail_ms)
+            left[trait.image] = min(headroom, left.get(trait.image, headroom))
         self._headrooms = [
-            messages.Headroom(image, room) for image, room in left.items()
+            messages.Headroom(image, headroom)
+            for image, headroom in left.items()
         ]
 
-    def _share_out(self, filling, rooms, cores, now_ms):
-        """Give each filling task its share, by precedence.
+    def _assign_shares(self, filling, headrooms, cores, now_ms):
+        """Assign a share to each filling task, by precedence.
 
+        :param headrooms: headroom by serving image
         :returns: map of (task, attempt) to percent
         """
-        left = dict(rooms)
+        left = dict(headrooms)
         wanted = {}
-        for one in sorted(filling, key=lambda a: self._rank(a, rooms, now_ms)):
+        for one in sorted(
+            filling, key=lambda a: self._rank(a, headrooms, now_ms)
+        ):
             trait = self._traits.find(one)
             share = 1.0
-            for image, room in left.items():
+            for image, headroom in left.items():
                 press = self.presses.find_cautious(image, trait.image)
                 cost = press * trait.fill_milli / cores
                 if cost > 0:
-                    share = min(share, room / cost)
+                    share = min(share, headroom / cost)
             share = max(LEAST / FULL, share)
             for image in left:
                 press = self.presses.find_cautious(image, trait.image)
                 cost = press * trait.fill_milli / cores
                 left[image] = max(0.0, left[image] - cost * share)
-            percent = int(FULL * share * self._brake)
+            percent = int(FULL * share * self._throttle_factor)
             wanted[(one.task, one.attempt)] = max(LEAST, percent)
         return wanted
 
-    def _rank(self, attempt, rooms, now_ms):
-        """Return a filling task's precedence, and its name."""
+    def _rank(self, attempt, headrooms, now_ms):
+        """Return the sort key of a filling task: precedence, then name."""
         trait = self._traits.find(attempt)
         press = max(
-            (self.presses.find(image, trait.image) for image in rooms),
+            (self.presses.find(image, trait.image) for image in headrooms),
             default=0.0,
         )
         weight = trait.claim.weigh(now_ms)
@@ -306,21 +331,21 @@
 
     def _list_changes(self, filling, wanted):
         live = set(wanted)
-        self._told = {n: p for n, p in self._told.items() if n in live}
+        self._sent = {n: p for n, p in self._sent.items() if n in live}
         changes = []
         for one in filling:
             name = (one.task, one.attempt)
             percent = wanted[name]
-            if not _is_due(self._told.get(name, FULL), percent):
+            if not _is_due(self._sent.get(name, FULL), percent):
                 continue
-            self._told[name] = percent
+            self._sent[name] = percent
             changes.append(Pace(one.task, one.attempt, percent))
         return changes
 
 
-def _is_due(told, percent):
-    """Tell whether a share has to be set, given what was told before."""
-    if told is None:
+def _is_due(sent, percent):
+    """Tell whether a share has to be sent, given the last one that was."""
+    if sent is None:
         return True
-    near = abs(told - percent) < _LEAST_CHANGE
-    return told != percent and (not near or percent in (0, LEAST, FULL))
+    near = abs(sent - percent) < _MIN_CHANGE
+    return sent != percent and (not near or percent in (0, LEAST, FULL))
--- /dev/null
+++ b/packages/side/portwharf/side/pacing_log.py
@@ -0,0 +1,116 @@
+# Copyright the portwharf authors.
+# SPDX-License-Identifier: Apache-2.0
+"""Logs episodes of missed latency targets and failed throttle commands.
+
+A serving task can stay over its target for three reasons: the side does not
+know that it is a serving task, the filling tasks are not throttled enough, or
+the worker does not carry out throttle commands. Each has its own log line, and
+an episode has only a few lines.
+"""
+
+import logging
+
+from portwharf.core import logs
+from portwharf.side import metrics
+
+LOG = logging.getLogger(__name__)
+
+# Shorter target misses are not logged.
+MIN_MISS_SECONDS = 1.0
+# Failed throttle commands are logged at most this often.
+_FAILURE_LOG_SECONDS = 1.0
+_MS = 1000
+
+
+class PacingLog:
+    """Logs about pacing on one VM."""
+
+    def __init__(self):
+        self._unknown = 0
+        self._over_since = None
+        self._logged = False
+        self._failures = 0
+        self._next_failure_log = 0.0
+
+    def report_unknown(self, attempts):
+        """Log when the number of unknown attempts rises, or falls to zero.
+
+        :param attempts: list of ``workers.Attempt`` that the owner has not
+            described
+        """
+        count = len(attempts)
+        metrics.UNKNOWN_ATTEMPTS.set(count)
+        if count > self._unknown:
+            LOG.warning(
+                'unknown attempts running',
+                extra=logs.fields(task=attempts[0].task, count=count),
+            )
+        elif self._unknown and not count:
+            LOG.info('no unknown attempts left')
+        self._unknown = count
+
+    def record_tail(self, attempt, target_ms, throttle, filling, now):
+        """Log when a task has missed its target for long, and its recovery.
+
+        :param attempt: the serving ``workers.Attempt`` whose tail latency is
+            highest in relation to its target, or None if there is none
+        :param target_ms: its latency target
+        :param throttle: the factor, 0 to 1, on the shares of all filling tasks
+        :param filling: the number of filling tasks
+        """
+        if attempt is None or attempt.tail_ms <= target_ms:
+            self._end_episode(now)
+            return
+        metrics.POLLS_OVER_TARGET.inc()
+        if self._over_since is None:
+            self._over_since = now
+        if self._logged or now - self._over_since < MIN_MISS_SECONDS:
+            return
+        self._logged = True
+        LOG.warning(
+            'latency target missed',
+            extra=logs.fields(
+                task=attempt.task,
+                attempt=attempt.attempt,
+                tail_ms=attempt.tail_ms,
+                target_ms=target_ms,
+                percent=int(100 * throttle),
+                count=filling,
+                strangers=self._unknown,
+            ),
+        )
+
+    def record_throttle(self, pace, paced, now):
+        """Count a throttle command, and log a failed one.
+
+        :param pace: the :class:`pacing.Pace`
+        :param paced: the worker's answer, Ok or Err(text)
+        """
+        if paced.is_ok():
+            metrics.THROTTLE_COMMANDS.labels('taken').inc()
+            return
+        metrics.THROTTLE_COMMANDS.labels('lost').inc()
+        self._failures += 1
+        if now < self._next_failure_log:
+            return
+        self._next_failure_log = now + _FAILURE_LOG_SECONDS
+        LOG.warning(
+            'throttle command failed: %s',
+            paced.err_value,
+            extra=logs.fields(
+                task=pace.task,
+                attempt=pace.attempt,
+                percent=pace.percent,
+                count=self._failures,
+            ),
+        )
+        self._failures = 0
+
+    def _end_episode(self, now):
+        if self._logged:
+            took = int((now - self._over_since) * _MS)
+            LOG.info(
+                'latency target met again', extra=logs.fields(took_ms=took)
+            )
+        self._over_since = None
+        self._logged = False
--- a/packages/side/portwharf/side/pacelog_test.py
+++ b/packages/side/portwharf/side/pacing_log_test.py
@@ -6,8 +6,8 @@
 
 import result
 
-from portwharf.side import pacelog
 from portwharf.side import pacing
+from portwharf.side import pacing_log
 from portwharf import workers
 
 
@@ -18,55 +18,59 @@
 
 def list_lines(case, act):
     """Return the messages that are logged while something is done."""
-    with case.assertLogs(pacelog.LOG, logging.INFO) as caught:
+    with case.assertLogs(pacing_log.LOG, logging.INFO) as caught:
         act()
     return [record.getMessage() for record in caught.records]
 
 
 def test_strangers_are_told_of_once_and_when_they_are_known(case):
-    log = pacelog.PaceLog()
+    log = pacing_log.PacingLog()
 
     def act():
         for _ in range(3):
-            log.note_strangers([make_attempt()])
-        log.note_strangers([])
+            log.report_unknown([make_attempt()])
+        log.report_unknown([])
 
     lines = list_lines(case, act)
     case.assertEqual(
         lines,
         [
-            'runs tasks that this side was not told of',
-            'knows all that runs here',
+            'unknown attempts running',
+            'no unknown attempts left',
         ],
     )
 
 
 def test_target_missed_for_long_has_a_line_at_both_ends(case):
-    log = pacelog.PaceLog()
+    log = pacing_log.PacingLog()
 
     def act():
         for now in (0.0, 0.4, 0.8, 1.2, 1.6):
-            log.note_worst(make_attempt(30), 20, 0.5, 1, now)
-        log.note_worst(make_attempt(10), 20, 0.5, 1, 2.0)
+            log.record_tail(make_attempt(30), 20, 0.5, 1, now)
+        log.record_tail(make_attempt(10), 20, 0.5, 1, 2.0)
 
     lines = list_lines(case, act)
-    case.assertEqual(lines, ['over its target', 'under its target again'])
+    case.assertEqual(
+        lines, ['latency target missed', 'latency target met again']
+    )
 
 
 def test_short_swing_has_no_line(case):
-    log = pacelog.PaceLog()
-    with case.assertNoLogs(pacelog.LOG):
-        log.note_worst(make_attempt(30), 20, 0.5, 1, 0.0)
-        log.note_worst(make_attempt(10), 20, 0.5, 1, 0.4)
-        log.note_worst(make_attempt(30), 20, 0.5, 1, 0.8)
+    log = pacing_log.PacingLog()
+    with case.assertNoLogs(pacing_log.LOG):
+        log.record_tail(make_attempt(30), 20, 0.5, 1, 0.0)
+        log.record_tail(make_attempt(10), 20, 0.5, 1, 0.4)
+        log.record_tail(make_attempt(30), 20, 0.5, 1, 0.8)
 
 
 def test_lost_paces_are_counted_and_told_of_now_and_then(case):
-    log = pacelog.PaceLog()
+    log = pacing_log.PacingLog()
     pace = pacing.Pace('f.0', 1, 10)
 
     def act():
         for now in (0.0, 0.1, 0.2, 1.5):
-            log.note_pace(pace, result.Err('timed out'), now)
+            log.record_throttle(pace, result.Err('timed out'), now)
 
-    case.assertEqual(list_lines(case, act), ['pace not taken: timed out'] * 2)
+    case.assertEqual(
+        list_lines(case, act), ['throttle command failed: timed out'] * 2
+    )
--- a/packages/side/portwharf/side/pacing_test.py
+++ b/packages/side/portwharf/side/pacing_test.py
@@ -93,7 +93,7 @@
 def test_change_that_did_not_arrive_is_made_again(case):
     pacer = make_pacer(light=0.1)
     (change,) = pacer.plan(make_listing(30, 'light'), 0.0)
-    pacer.forget_told(change)
+    pacer.forget_sent(change)
     case.assertIn('light.0', plan(pacer, make_listing(30, 'light')))
 
 
@@ -132,7 +132,7 @@
     for step in range(8):
         changes = pacer.plan(make_listing(5, 'light'), 1.0 + step)
     case.assertEqual(changes, [])
-    pacer.forget_told(pacing.Pace('light.0', 1, pacing.FULL))
+    pacer.forget_sent(pacing.Pace('light.0', 1, pacing.FULL))
     changes = plan(pacer, make_listing(5, 'light'), 10.0)
     case.assertEqual(changes, {'light.0': pacing.FULL})
 
--- a/packages/side/portwharf/side/process.py
+++ b/packages/side/portwharf/side/process.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The whole side process, put together from its parts."""
+"""The side process, assembled from its components."""
 
 import contextlib
 import logging
@@ -25,20 +25,20 @@
 
 LOG = logging.getLogger(__name__)
 
-# How long a planned stop waits for requests that run.
+# How long a planned stop waits for running requests.
 DRAIN_SECONDS = 60
-# How long entries are given to hear that this side is leaving.
+# Time for entries to learn that this side is leaving.
 LEAVE_SECONDS = 1.0
 
 
 class SideProcess:
-    """A side, while in its block."""
+    """A side process; a context manager that runs it."""
 
     def __init__(self, cfg, surroundings=None):
         """Take checked :class:`settings.SideSettings`.
 
-        :param surroundings: an ``outside.Outside``; what the settings
-            name, if it is None
+        :param surroundings: an ``outside.Outside``; None for the services
+            named in the settings
         """
         self._cfg = cfg
         self._outside = surroundings or outside.SettingsOutside(cfg)
@@ -69,11 +69,11 @@
         self._stack.close()
 
     def stop(self):
-        """Ask for a planned stop; safe in a signal handler."""
+        """Request a planned stop; safe in a signal handler."""
         self._stopping.set()
 
     def wait(self):
-        """Wait until a planned stop is asked for."""
+        """Wait until a planned stop is requested."""
         stops.wait_until_asked(self._stopping)
 
     def _start_parts(self):
@@ -98,8 +98,8 @@
         watcher = self._make_watcher(kv, listing)
         self._server.find_owner = lambda: watcher.owner
         self._keeper.follow(self._server.note_change)
-        self._keeper.follow(lambda: _pass_on(watcher.owner))
-        self._zones.follow(lambda: _pass_zones_on(watcher.owner))
+        self._keeper.follow(lambda: _send_config(watcher.owner))
+        self._zones.follow(lambda: _send_closed_zones(watcher.owner))
         enter(zones.ZoneWatcher(kv, self._zones))
         context = tls.make_server_context(cfg.tls)
         enter(self._server.agent)
@@ -112,7 +112,7 @@
         pages = web.Pages(lambda: not self._guard.forgetful)
         enter(web.Server(cfg.vm.address, cfg.pages_port, pages, threads=1))
         enter(watcher)
-        LOG.info('side of %s ready', cfg.vm.name)
+        LOG.info('side ready on VM %s', cfg.vm.name)
 
     def _read_roster_seq(self):
         return self._server.home.seq
@@ -160,7 +160,7 @@
         return service
 
     def _drain(self):
-        """Let entries know, then finish what has been admitted."""
+        """Tell the entries, then finish all admitted requests."""
         self._server.agent.draining = True
         self._server.drain()
         threading.Event().wait(LEAVE_SECONDS)
@@ -169,13 +169,13 @@
             self._server.admission.wait_until_idle(DRAIN_SECONDS)
 
 
-def _pass_on(role):
-    """Pass a new configuration down, if this process is an owner."""
+def _send_config(role):
+    """Send a new configuration to the sides, if this process is an owner."""
     if role is not None:
         role.tell_config()
 
 
-def _pass_zones_on(role):
-    """Pass on which zones are closed, if this process is an owner."""
+def _send_closed_zones(role):
+    """Send the closed zones to the sides, if this process is an owner."""
     if role is not None:
         role.tell_zones()
--- a/packages/side/portwharf/side/reports.py
+++ b/packages/side/portwharf/side/reports.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side tells its owner of an attempt."""
+"""Builds the reports on attempts that a side sends to its owner."""
 
 import dataclasses
 
@@ -8,14 +8,14 @@
 from portwharf.peers import messages
 from portwharf import workers
 
-# A task's result is in the log: a reference to anything larger.
+# Results are stored in the log; larger ones have to be references.
 MAX_RESULT_BYTES = 64 * 1024
 REASON_RESULT = 'result-is-over-64-KiB'
 REASON_CRASHED = 'the-worker-crashed'
 
 
 def make_attempt(start):
-    """Return a started attempt as the next listing will show it."""
+    """Return a started attempt as the worker's next listing will show it."""
     return workers.Attempt(
         start.task,
         start.attempt,
@@ -27,8 +27,8 @@
     )
 
 
-def make_recalled(held):
-    """Return the start of a ``messages.HeldTask``, for the worker."""
+def make_recall_start(held):
+    """Return a ``messages.HeldTask`` as a ``workers.Start`` to recall."""
     return workers.Start(
         held.task,
         held.attempt,
@@ -46,10 +46,10 @@
 
 
 def make_report(attempt):
-    """Return what the owner is told of an attempt.
+    """Return the ``messages.TaskReport`` of a listed attempt.
 
-    A result that the log cannot hold makes the attempt a failed one, which
-    is said, instead of a log that stands still.
+    An attempt whose result is too large for the log is reported as failed,
+    because the log could not make progress with it.
     """
     if len(attempt.result) > MAX_RESULT_BYTES:
         attempt = dataclasses.replace(
@@ -70,11 +70,12 @@
     )
 
 
-def make_gone(name, reason, checkpoint, crash):
-    """Return what the owner is told of an attempt that is gone.
+def make_gone_report(name, reason, checkpoint, crash):
+    """Return the ``messages.TaskReport`` of an attempt that is gone.
 
     :param name: (task, attempt)
-    :param reason: why, unless its worker crashed
+    :param reason: why it is gone, unless its worker crashed
+    :param checkpoint: its last checkpoint, or ''
     :param crash: the ``crashes.Crash`` that ended it, or None
     """
     task, attempt = name
--- /dev/null
+++ b/packages/side/portwharf/side/runtimes_test.py
@@ -0,0 +1,112 @@
+# Copyright the portwharf authors.
+# SPDX-License-Identifier: Apache-2.0
+"""How long tasks run is told from their progress, paced or resumed or not."""
+
+from portwharf.core import data
+from portwharf.peers import messages
+from portwharf.side import runtimes
+from portwharf import workers
+
+TASK = 'job.0.0.0'
+
+
+def make_attempt(percent, **fields):
+    """Return an attempt that has come so far."""
+    values = {'task': TASK, 'attempt': 1, 'state': data.RunState.RUNNING}
+    values |= {'percent': percent, 'kind': data.Kind.BATCH}
+    return workers.Attempt(**{**values, **fields})
+
+
+def begin(estimator, now=0.0, checkpoint=''):
+    """Note a start."""
+    start = workers.Start(TASK, 1, checkpoint=checkpoint)
+    start.kind = data.Kind.BATCH
+    estimator.record_start(start, now)
+
+
+def paced(percent):
+    """Return what the pacer tells of a task that it paces."""
+    return [messages.PacedTask(TASK, 1, percent)]
+
+
+def test_run_time_follows_from_a_third_of_it(case):
+    estimator = runtimes.RuntimeEstimator()
+    begin(estimator)
+    estimator.update([make_attempt(20)], [], 0.5)
+    case.assertEqual(estimator.take_estimates(), [])
+    estimator.update([make_attempt(40)], [], 1.0)
+    case.assertEqual(
+        estimator.take_estimates(), [messages.RunMeasure(TASK, 2500)]
+    )
+    estimator.update([make_attempt(80)], [], 2.0)
+    case.assertEqual(estimator.take_estimates(), [])
+
+
+def test_task_that_is_soon_done_is_measured_by_its_end(case):
+    estimator = runtimes.RuntimeEstimator()
+    begin(estimator)
+    done = make_attempt(0, state=data.RunState.SUCCEEDED)
+    estimator.update([done], [], 0.7)
+    case.assertEqual(
+        estimator.take_estimates(), [messages.RunMeasure(TASK, 700)]
+    )
+
+
+def test_time_at_half_the_pace_counts_half(case):
+    estimator = runtimes.RuntimeEstimator()
+    begin(estimator)
+    estimator.update([make_attempt(10)], paced(50), 0.4)
+    estimator.update([make_attempt(20)], paced(50), 1.2)
+    estimator.update([make_attempt(50)], [], 3.6)
+    case.assertEqual(
+        estimator.take_estimates(), [messages.RunMeasure(TASK, 4000)]
+    )
+
+
+def test_task_that_hardly_worked_is_not_measured(case):
+    estimator = runtimes.RuntimeEstimator()
+    begin(estimator)
+    estimator.update([make_attempt(10)], paced(3), 0.4)
+    estimator.update([make_attempt(80)], [], 9.0)
+    case.assertEqual(estimator.take_estimates(), [])
+
+
+def test_resumed_task_is_measured_from_where_it_shows_progress(case):
+    estimator = runtimes.RuntimeEstimator()
+    begin(estimator, checkpoint='saved')
+    estimator.update([make_attempt(0)], [], 0.4)
+    estimator.update([make_attempt(50)], [], 1.0)
+    estimator.update([make_attempt(90)], [], 2.0)
+    case.assertEqual(
+        estimator.take_estimates(), [messages.RunMeasure(TASK, 2500)]
+    )
+
+
+def test_lasting_task_is_not_measured(case):
+    estimator = runtimes.RuntimeEstimator()
+    lasting = make_attempt(100, kind=data.Kind.STANDING)
+    estimator.update([lasting], [], 1.0)
+    estimator.update([lasting], [], 9.0)
+    case.assertEqual(estimator.take_estimates(), [])
+
+
+def test_failed_task_is_not_measured(case):
+    estimator = runtimes.RuntimeEstimator()
+    begin(estimator)
+    failed = make_attempt(100, state=data.RunState.FAILED)
+    estimator.update([failed], [], 0.7)
+    case.assertEqual(estimator.take_estimates(), [])
+
+
+def test_what_waits_for_a_heartbeat_is_bounded(case):
+    estimator = runtimes.RuntimeEstimator()
+    for number in range(2 * runtimes.MAX_DUE):
+        start = workers.Start(f'job.0.0.{number}', 1)
+        start.kind = data.Kind.BATCH
+        estimator.record_start(start, 0.0)
+    done = [
+        make_attempt(100, task=f'job.0.0.{number}')
+        for number in range(2 * runtimes.MAX_DUE)
+    ]
+    estimator.update(done, [], 1.0)
+    case.assertEqual(len(estimator.take_estimates()), runtimes.MAX_DUE)
--- a/packages/side/portwharf/side/server.py
+++ b/packages/side/portwharf/side/server.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The side's listener: owners, entries and other sides call here.
+"""Serves the connections of owners, entries and other sides.
 
-One thread reads each connection. What a greeting's role may send is all
-that is taken on its connection; anything else ends it.
+One thread reads each connection. The role in the greeting decides which
+messages are accepted; any other message ends the connection.
 """
 
 import concurrent.futures
@@ -18,13 +18,13 @@
 from portwharf.peers import messages
 from portwharf.peers import streams
 from portwharf.side import admission
-from portwharf.side import home
+from portwharf.side import at_most_once
 
 LOG = logging.getLogger(__name__)
 
-_STATE_SECONDS = 1.0
+_STATE_INTERVAL_SECONDS = 1.0
 _OPERATION_THREADS = 8
-# Larger payloads are refused before they are taken in.
+# Requests with larger payloads are refused unread.
 MAX_PAYLOAD_BYTES = 16 * 1024 * 1024
 _COMMANDS = (
     messages.StartTask,
@@ -38,11 +38,15 @@
 
 
 class SideServer:
-    """Everything that a side does for callers of its port."""
+    """Handles all connections to a side."""
 
     def __init__(self, cfg, instance, clock, guard, keeper, zones):
-        """Take settings, identity and what the side knows.
+        """Initialise the server.
 
+        :param cfg: checked ``settings.SideSettings``
+        :param instance: identifies this process
+        :param guard: the side's ``Guard``
+        :param keeper: the ``configuration.ConfigKeeper`` of this process
         :param zones: the ``zones.ZoneKeeper`` of this process
         """
         self._zones = zones
@@ -58,14 +62,14 @@
         self._pool = concurrent.futures.ThreadPoolExecutor(
             _OPERATION_THREADS, 'operation'
         )
-        self.home = home.Home(cfg.vm.name, guard, clock)
+        self.home = at_most_once.AtMostOncePolicy(cfg.vm.name, guard, clock)
         self._rosters = messages.RosterUpdate()
         self.agent = None
         self.admission = None
         self.find_owner = None
         self.draining = False
         self._thread = threading.Thread(
-            target=self._tell_entries, name='state', daemon=True
+            target=self._send_states, name='state', daemon=True
         )
 
     def __enter__(self):
@@ -79,11 +83,11 @@
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def note_change(self):
-        """Tell the entries soon that something about this side changed."""
+        """Send this side's state to the entries soon."""
         self._changed.set()
 
     def drain(self):
-        """Announce that this side takes nothing new."""
+        """Announce that this side accepts no new requests."""
         self.draining = True
         self.note_change()
 
@@ -97,7 +101,9 @@
         elif hello.role == 'side':
             self._serve_side(conn)
         else:
-            raise streams.PeerError(f'unknown role {hello.role}')
+            raise streams.PeerError(
+                f'unknown role {hello.role}, must be owner, entry or side'
+            )
 
     def make_hello(self):
         """Return this side's greeting."""
@@ -111,7 +117,9 @@
 
     def _serve_owner(self, conn, hello):
         if hello.shard != self._cfg.vm.shard:
-            raise streams.PeerError(f'owner of shard {hello.shard}')
+            raise streams.PeerError(
+                f'greeting from an owner of another shard: {hello.shard}'
+            )
         conn.set_idle(self._cfg.limits.owner_idle)
         self.greet_owner(conn, hello)
         try:
@@ -121,24 +129,28 @@
             self.agent.lose_owner(conn)
 
     def greet_owner(self, conn, hello):
-        """Follow an owner that has dialled us.
+        """Follow an owner that has connected.
 
         :raises PeerError: a newer owner is known
         """
         accepted = self._guard.accept_owner(hello.epoch, hello.name)
         conn.send(self.make_hello())
         if not accepted:
-            raise streams.PeerError('owner of a former epoch')
+            raise streams.PeerError(
+                'greeting from an owner of an earlier epoch'
+            )
         extra = logs.fields(peer=hello.name, epoch=hello.epoch)
         LOG.info('following owner', extra=extra)
         self.agent.take_owner(conn)
         self.note_change()
 
     def take_owner_message(self, conn, hello, message):
-        """Take one message of the owner's that greeted us with hello."""
+        """Handle one message from the owner that sent the greeting."""
         if isinstance(message, messages.Grant):
             if hello.epoch != message.epoch:
-                raise streams.PeerError('grant of another epoch')
+                raise streams.PeerError(
+                    'epoch of the grant differs from that of the greeting'
+                )
             self._guard.accept_grant(
                 message.epoch, message.side_ms / _MS, message.valid
             )
@@ -151,7 +163,7 @@
         elif isinstance(message, messages.RosterUpdate):
             if self.home.take_update(message, hello.epoch):
                 self._rosters = message
-                self._tell_all(message)
+                self._send_to_entries(message)
         elif isinstance(message, messages.ConfigUpdate):
             self._keeper.offer(message.revision, message.text)
         elif isinstance(message, messages.ClosedZones):
@@ -162,7 +174,7 @@
             raise streams.GarbledError(f'unexpected {type(message).__name__}')
 
     def _serve_side(self, conn):
-        """Answer another side that asks whether we hear the owner."""
+        """Answer another side's query whether this side hears the owner."""
         conn.send(self.make_hello())
         query = conn.receive()
         if not isinstance(query, messages.OwnerQuery):
@@ -199,17 +211,18 @@
         elif isinstance(message, messages.Withdraw):
             incoming.withdraw(message.id)
         elif isinstance(message, messages.Operation):
-            self._pool.submit(self._operate, conn, message)
+            self._pool.submit(self._run_operation, conn, message)
         elif isinstance(message, messages.SideState):
-            # An entry's beat keeps an idle connection open, and tells which
-            # configuration the entry has: it may be cut off from the store.
+            # An entry's heartbeat keeps an idle connection open and contains
+            # its configuration revision. An entry without access to the store
+            # gets its configuration this way.
             update = self._keeper.make_update()
             if update.revision > message.config_revision:
                 conn.send(update)
         else:
             raise streams.GarbledError(f'unexpected {type(message).__name__}')
 
-    def _operate(self, conn, operation):
+    def _run_operation(self, conn, operation):
         owner = self.find_owner()
         if owner is None:
             conn.try_send(messages.OperationResult(operation.id, 'not-owner'))
@@ -217,10 +230,10 @@
         conn.try_send(owner.operate(operation))
 
     def submit(self, conn, message, payload, jobs):
-        """Admit one whole request.
+        """Admit one complete request.
 
-        :param jobs: map of id to Job, where the request stays until it is
-            finished
+        :param jobs: map of message id to Job, which keeps the request until it
+            is finished
         """
         now = self._clock.read_monotonic()
         job = admission.Job(
@@ -246,7 +259,7 @@
         self.admission.offer(job)
 
     def _check_request(self, message, job):
-        """Return a request's verdict if it must not be admitted here."""
+        """Return the verdict of a request to be rejected, or None."""
         if not self._serves(message.service):
             verdict = admission.Verdict(reason=admission.REASON_SERVICE)
             if message.sent_before:
@@ -254,7 +267,7 @@
             return verdict
         if message.repeatable:
             return None
-        job.may_run = lambda: self.home.is_ours(
+        job.may_run = lambda: self.home.may_run_now(
             message.request, message.service
         )
         return self.home.admit(
@@ -270,7 +283,7 @@
         return sorted(set(self._cfg.runner.services) | self.agent.services)
 
     def _finish(self, conn, message, verdict):
-        """Send what became of a request to the entry that asked."""
+        """Send the outcome of a request to the entry that sent it."""
         payload = verdict.payload
         answer = messages.Answer(
             message.id,
@@ -294,14 +307,14 @@
             extra = logs.fields(request=message.request)
             LOG.info('answer not delivered: %s', exc, extra=extra)
 
-    def _tell_entries(self):
+    def _send_states(self):
         while not self._stop.is_set():
-            self._changed.wait(_STATE_SECONDS)
+            self._changed.wait(_STATE_INTERVAL_SECONDS)
             self._changed.clear()
             self.agent.config_revision = self._keeper.read().revision
-            self._tell_all(self._make_state())
+            self._send_to_entries(self._make_state())
 
-    def _tell_all(self, message):
+    def _send_to_entries(self, message):
         """Send a message to all entries."""
         with self._lock:
             entries = list(self._entries)
@@ -326,7 +339,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Partial:
-    """A request whose payload has not all come yet."""
+    """A request whose payload is not complete yet."""
 
     message: messages.Request = None
     pieces: list = dataclasses.field(default_factory=list)
@@ -343,30 +356,30 @@
         self._jobs = {}
 
     def begin(self, message):
-        """Take a request, whole or its first piece."""
+        """Take a request with the first part of its payload, or all of it."""
         if message.size > MAX_PAYLOAD_BYTES:
-            raise streams.PeerError('payload too large')
+            raise streams.PeerError('payload of a request is over 16 MiB')
         partial = _Partial(message)
         self._partial[message.id] = partial
         self._add(partial, message.payload)
 
     def extend(self, chunk):
-        """Take one more piece of a request."""
+        """Take the next part of a request's payload."""
         partial = self._partial.get(chunk.id)
         if partial is not None:
             self._add(partial, chunk.payload)
 
-    def withdraw(self, number):
-        """Drop a request whose caller has gone, if it does not run yet."""
-        self._partial.pop(number, None)
-        job = self._jobs.pop(number, None)
+    def withdraw(self, message_id):
+        """Cancel a request whose caller has gone, unless it runs already."""
+        self._partial.pop(message_id, None)
+        job = self._jobs.pop(message_id, None)
         if job is not None:
             job.withdrawn = True
 
     def withdraw_all(self):
-        """Drop all requests: their entry has gone."""
-        for number in list(self._jobs):
-            self.withdraw(number)
+        """Cancel all requests of an entry that has disconnected."""
+        for message_id in list(self._jobs):
+            self.withdraw(message_id)
 
     def _add(self, partial, piece):
         partial.pieces.append(piece)
--- a/packages/side/portwharf/side/settings.py
+++ b/packages/side/portwharf/side/settings.py
@@ -12,14 +12,14 @@
 from portwharf.peers import tls
 from portwharf.scheduler import limits
 
-# Appends a second of all owners together, under the users' 40 with room
-# for snapshots and trimming.
+# Log appends per second of all owners together, below the 40 that users allow,
+# which leaves room for snapshots and trimming.
 STORE_WRITES = 36
-_SECONDS_MOST = 3600
+_MAX_SECONDS = 3600
 _LIMITS_SCHEMA = {
     voluptuous.Optional(
         f'{field.name}_seconds', default=field.default
-    ): settings.number(0.05, _SECONDS_MOST)
+    ): settings.number(0.05, _MAX_SECONDS)
     for field in dataclasses.fields(limits.Limits)
 }
 SCHEMA = voluptuous.Schema(
@@ -60,10 +60,11 @@
 
 @dataclasses.dataclass(slots=True)
 class RunnerSettings:
-    """The runner beside this side, and what it may be given.
+    """The runner beside this side, and its limits.
 
+    :param slots: requests that run at a time
     :param queue: requests that may wait for a slot
-    :param services: served whatever the worker runs, as "team/name"
+    :param services: served in addition to those on the worker, as "team/name"
     """
 
     address: str = ''
@@ -120,11 +121,11 @@
         )
     if problems:
         return result.Err(problems)
-    return result.Ok(_fill(values))
+    return result.Ok(_build_settings(values))
 
 
 def _check_limits(values):
-    """Return what is wrong between limits that are right one by one."""
+    """Return the problems of limits that are valid one by one."""
     if values['heartbeat_seconds'] * 2 <= values['confirm_seconds']:
         return []
     return [
@@ -138,11 +139,11 @@
     ]
 
 
-def _fill(values):
+def _build_settings(values):
     vm = dict(values['vm'])
     pages_port = vm.pop('pages_port')
     shards = values['shards']
-    made = SideSettings(
+    cfg = SideSettings(
         vm=data.Vm(**vm),
         pages_port=pages_port,
         store=settings.Endpoint(**values['store']),
@@ -152,14 +153,14 @@
         log_style=values['log']['style'],
         log_level=values['log']['level'],
     )
-    made.limits = limits.Limits(
+    cfg.limits = limits.Limits(
         **{
             name.removesuffix('_seconds'): value
             for name, value in values['limits'].items()
         }
     )
     if 'worker' in values:
-        made.worker = settings.Endpoint(**values['worker'])
+        cfg.worker = settings.Endpoint(**values['worker'])
     if 'runner' in values:
-        made.runner = RunnerSettings(**values['runner'])
-    return made
+        cfg.runner = RunnerSettings(**values['runner'])
+    return cfg
--- a/packages/side/portwharf/side/sight.py
+++ b/packages/side/portwharf/side/sight.py
@@ -1,12 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side has seen of its worker, and when it may speak of it.
-
-A side that has just started does not know what its former life began.
-Until it has seen its worker, or every lease that its former life may have
-given has run out, what it does not know of may run: it must not call that
-gone, or refused. After that it tells the owner all that it knows of, which
-may be nothing, so that no task waits for a worker that never answers.
+"""Monitors whether the worker responds and whether its state is known.
+
+A side that has just started does not know what its previous process started.
+Until it has read the worker's listing, or until every lease that the previous
+process may have granted has expired, unknown attempts may still run: the side
+must not report them as gone or refused. After that it reports all that it
+knows, which may be nothing, so that no task waits for a worker that never
+responds.
 """
 
 import dataclasses
@@ -16,12 +17,12 @@
 
 LOG = logging.getLogger(__name__)
 
-# A worker that does not answer for so long gets nothing new.
+# A worker that has not responded for this long gets no new attempts.
 SILENT_SECONDS = 0.9
 
 
 class Sight:
-    """Whether a worker answers, for the agent's thread."""
+    """Monitors whether a worker responds; used only by the agent's thread."""
 
     def __init__(self, worker):
         """Take the worker, or None."""
@@ -30,54 +31,57 @@
 
     @property
     def knows_all(self):
-        """Whether what is not listed surely does not run."""
+        """Whether an attempt that is not listed surely does not run."""
         return self._knows_all
 
-    def note_answer(self):
-        """Note that the worker has told all that it runs."""
+    def record_response(self):
+        """Record that the worker has returned its listing."""
         if self._silent_since is not None:
-            LOG.info('worker answers again')
+            LOG.info('worker responds again')
             self._silent_since = None
         self._knows_all = True
 
-    def note_silence(self, text, now):
-        """Note that a look at the worker got no answer."""
+    def record_silence(self, text, now):
+        """Record that a poll of the worker got no answer."""
         if self._silent_since is None:
             self._silent_since = now
-            LOG.warning('worker does not answer: %s', text)
+            LOG.warning('worker not responding: %s', text)
 
-    def note_lapse(self):
-        """Note that no lease at the silent worker runs any more."""
+    def record_expiry(self):
+        """Record that every lease on the silent worker has expired."""
         if not self._knows_all:
-            LOG.warning('former leases are over, with no look at the worker')
+            LOG.warning(
+                'earlier leases expired without a response from the worker'
+            )
             self._knows_all = True
 
     def is_silent(self, now):
-        """Tell whether the worker has not answered for too long."""
+        """Tell whether the worker has not responded for too long."""
         since = self._silent_since
         return since is not None and now - since >= SILENT_SECONDS
 
 
-def make_silent(listing, lapsed):
-    """Return what is left of a listing once its worker is silent.
+def make_silent_listing(listing, lapsed):
+    """Return the listing to use while the worker does not respond.
 
-    :param lapsed: no lease at the worker runs any more
+    :param listing: the last ``workers.Listing``
+    :param lapsed: whether every lease on the worker has expired
     """
     attempts = listing.attempts
     if lapsed:
         attempts = [a for a in attempts if a.state != data.RunState.RUNNING]
-    # Nothing is to be placed here until it answers.
+    # Nothing may be placed here until the worker responds.
     return dataclasses.replace(
         listing, capacity=data.Resources(), attempts=attempts
     )
 
 
-def list_vanished(former, listing):
+def list_vanished(previous, listing):
     """Return the attempts that ran and are not listed any more."""
     listed = {(a.task, a.attempt) for a in listing.attempts}
     return [
         attempt
-        for attempt in former.attempts
+        for attempt in previous.attempts
         if attempt.state == data.RunState.RUNNING
         and (attempt.task, attempt.attempt) not in listed
     ]
--- a/packages/side/portwharf/side/slowed_test.py
+++ b/packages/side/portwharf/side/slowdowns_test.py
@@ -4,11 +4,11 @@
 
 from portwharf.core import data
 from portwharf.peers import messages
-from portwharf.side import slowed
+from portwharf.side import slowdowns
 from portwharf import workers
 
 TASK = ('a.0.0.1', 2)
-LOGGER = 'portwharf.side.slowed'
+LOGGER = 'portwharf.side.slowdowns'
 
 
 def make_attempt(state=data.RunState.RUNNING):
@@ -20,7 +20,7 @@
     """Have an attempt work at shares, as (time, percent)."""
     for now, percent in rows:
         paced = [messages.PacedTask(*TASK, percent, 0)]
-        log.note_listing([make_attempt()], paced, now)
+        log.update([make_attempt()], paced, now)
 
 
 def read(watched):
@@ -29,24 +29,24 @@
 
 
 def test_end_tells_what_was_lost(case):
-    log = slowed.SlowedLog()
+    log = slowdowns.SlowdownLog()
     with case.assertLogs(LOGGER) as watched:
         play(log, (0, 50), (1, 0), (2, 100))
         done = make_attempt(data.RunState.SUCCEEDED)
-        log.note_listing([done], [], 4)
+        log.update([done], [], 4)
     case.assertEqual(read(watched), [(4000, 1500)])
 
 
 def test_one_that_goes_on_is_told_of_now_and_then(case):
-    log = slowed.SlowedLog()
+    log = slowdowns.SlowdownLog()
     with case.assertLogs(LOGGER) as watched:
         play(log, *((second, 0) for second in range(10)))
     case.assertEqual(read(watched), [(4000, 4000), (8000, 8000)])
 
 
 def test_work_at_full_pace_is_not_told(case):
-    log = slowed.SlowedLog()
+    log = slowdowns.SlowdownLog()
     with case.assertNoLogs(LOGGER):
-        log.note_listing([make_attempt()], [], 0)
-        log.note_listing([make_attempt()], [], 3)
-        log.note_listing([], [], 4)
+        log.update([make_attempt()], [], 0)
+        log.update([make_attempt()], [], 3)
+        log.update([], [], 4)
--- a/packages/side/portwharf/side/traits.py
+++ b/packages/side/portwharf/side/traits.py
@@ -1,11 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What the tasks of one VM are, as far as that matters beside each other.
+"""The properties of the tasks on a VM that pacing depends on.
 
-A worker lists what runs, but not what it is. That comes from the owner: with
-the order that begins an attempt, and again, for all that the VM holds, with
-each new connection. So a side that has restarted knows its tasks before it
-is told to begin another, and a task is known for as long as it runs.
+A worker lists which attempts run, but not their properties. These come from
+the owner: with the command that starts an attempt and, for all tasks that the
+VM holds, with each new connection. A restarted side therefore knows its tasks
+before it is told to start another, and keeps a task's traits for as long as it
+runs.
 """
 
 import dataclasses
@@ -13,18 +14,21 @@
 from portwharf.core import recent
 from portwharf.scheduler.decisions import precedence
 
-# Tasks that are remembered, unless more run: a start without an answer
-# may show up to 12 s later, and a VM begins fewer than 20 a second.
+# Tasks that are remembered, unless more of them run. A start without an answer
+# may show in the listing up to 12 s later, and a VM starts fewer than 20 tasks
+# a second.
 MAX_TRAITS = 1000
 
 
 @dataclasses.dataclass(slots=True)
-class Trait:
-    """What matters of a task.
-
-    :param fill_milli: processors that it asks for if it fills, else 0
-    :param attempt: the latest that was told of
-    :param claim: what its job has to go for it
+class TaskTraits:
+    """The properties of a task.
+
+    :param fill_milli: the CPU that a filling task asks for, in thousandths, or
+        0
+    :param target_ms: the tail latency target of a serving task, or 0
+    :param attempt: the latest attempt that the owner has described
+    :param claim: the claim of its job, for its precedence
     """
 
     image: str = ''
@@ -36,24 +40,24 @@
     )
 
 
-_NOTHING_KNOWN = Trait()
+_UNKNOWN_TASK = TaskTraits()
 
 
-class Traits:
-    """The traits of the tasks that run here, or may."""
+class TraitsCache:
+    """The traits of the tasks that run here or may run."""
 
     def __init__(self):
         self._known = recent.Recent(MAX_TRAITS)
-        self._told = False
-        self.strangers = []
+        self._all_described = False
+        self.unknown = []
 
-    def note(self, message):
+    def record(self, message):
         """Take a task from a ``messages.StartTask`` or ``HeldTask``.
 
         :returns: whether it was not known before
         """
         new = message.task not in self._known
-        trait = Trait(
+        trait = TaskTraits(
             message.program,
             message.fill_milli,
             message.target_ms,
@@ -63,25 +67,26 @@
         self._known.put(message.task, trait)
         return new
 
-    def note_all(self):
-        """Note that an owner has told of all that the log has here."""
-        self._told = True
+    def record_all_described(self):
+        """Record that the owner has described all tasks that the VM holds."""
+        self._all_described = True
 
-    def use(self, running):
-        """Say what runs: a list of ``workers.Attempt``.
+    def set_running(self, running):
+        """Take the running attempts, a list of ``workers.Attempt``.
 
-        An attempt that an owner has left out, or told of a later one in its
-        place, is a stranger: it was given up, and will be stopped.
+        An attempt is unknown if the owner has not described its task, or has
+        described a later attempt. The log has given it up, and it will be
+        stopped.
         """
         self._known.use(one.task for one in running)
-        self.strangers = []
-        if self._told:
-            self.strangers = [a for a in running if self._is_stranger(a)]
+        self.unknown = []
+        if self._all_described:
+            self.unknown = [a for a in running if self._is_unknown(a)]
 
-    def _is_stranger(self, attempt):
+    def _is_unknown(self, attempt):
         known = self._known.get(attempt.task)
         return known is None or attempt.attempt < known.attempt
 
     def find(self, attempt):
-        """Return the :class:`Trait` of an attempt; empty if not known."""
-        return self._known.get(attempt.task, _NOTHING_KNOWN)
+        """Return the :class:`TaskTraits` of an attempt; empty if not known."""
+        return self._known.get(attempt.task, _UNKNOWN_TASK)
--- a/packages/side/portwharf/side/traits_test.py
+++ b/packages/side/portwharf/side/traits_test.py
@@ -117,7 +117,7 @@
     made.restart_side(node)
     made.standin.faults.down = False
     made.run(4)
-    case.assertFalse(node.server.agent._pacer.runs_strangers)
+    case.assertFalse(node.server.agent._pacer.has_unknown_attempts)
     known = node.server.agent._pacer._traits
-    known.use(running)
-    case.assertEqual(known.strangers, [])
+    known.set_running(running)
+    case.assertEqual(known.unknown, [])
