--- a/packages/side/portwharf/side/agent_test.py
+++ b/packages/side/portwharf/side/agent_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The side starts, keeps and stops only what it may."""
+"""Which starts, lease renewals and stops an agent carries out."""
 
 from portwharf.core import data
 from portwharf.peers import messages
@@ -106,7 +106,7 @@
     case.assertEqual(bench.worker.renewed, renewed)
 
 
-def test_new_owner_hears_of_everything(case):
+def test_new_owner_gets_a_full_report(case):
     bench = agent_bench.Bench()
     bench.grant()
     bench.start()
@@ -130,7 +130,7 @@
     case.assertEqual(again.list_refused(), [agent.REFUSED_ATTEMPT])
 
 
-def test_restarted_side_tells_nothing_before_it_has_learnt(case):
+def test_restarted_side_reports_nothing_before_it_knows_the_epoch(case):
     bench = agent_bench.Bench()
     fresh = guard.Guard(bench.clock, agent_bench.LIMITS)
     bench.agent._guard = fresh
@@ -139,8 +139,8 @@
     bench.agent.take_owner(conn)
     bench.step(1.0)
     case.assertEqual(conn.take(messages.Reports), [])
-    beats = conn.take(messages.Heartbeat)
-    case.assertEqual({beat.epoch for beat in beats}, {0})
+    heartbeats = conn.take(messages.Heartbeat)
+    case.assertEqual({heartbeat.epoch for heartbeat in heartbeats}, {0})
     fresh.learn_epoch(3)
     bench.step(1.0)
     case.assertTrue(conn.take(messages.Reports)[0].whole)
@@ -161,7 +161,7 @@
     case.assertEqual(message.reports[0].reason, reports.REASON_RESULT)
 
 
-def test_forgotten_ending_leaves_the_worker(case):
+def test_forgotten_attempt_is_removed_from_the_worker(case):
     bench = agent_bench.Bench()
     bench.grant()
     bench.start()
@@ -180,7 +180,7 @@
     case.assertEqual(message.reports[0].state, data.RunState.GONE)
 
 
-def test_services_that_run_are_made_known(case):
+def test_running_services_are_announced(case):
     bench = agent_bench.Bench()
     bench.start(
         's.0', exclusive=False, kind=data.Kind.SERVICE, workload='lens/fit'
@@ -188,17 +188,17 @@
     case.assertEqual(bench.services, [frozenset({'lens/fit'})])
 
 
-def test_heartbeat_carries_the_owners_time_back(case):
+def test_heartbeat_returns_the_owners_time(case):
     bench = agent_bench.Bench()
     bench.conn.take(messages.Heartbeat)
     bench.agent.take_grant(messages.Grant(1, 777, 3, True))
     bench.step()
-    (beat,) = bench.conn.take(messages.Heartbeat)
-    case.assertEqual((beat.owner_ms, beat.epoch), (777, 3))
-    case.assertEqual(beat.capacity, data.Resources(4000, 4000))
+    (heartbeat,) = bench.conn.take(messages.Heartbeat)
+    case.assertEqual((heartbeat.owner_ms, heartbeat.epoch), (777, 3))
+    case.assertEqual(heartbeat.capacity, data.Resources(4000, 4000))
 
 
-def test_grant_that_is_not_valid_yet_is_asked_for_again_soon(case):
+def test_invalid_grant_is_retried_with_backoff(case):
     bench = agent_bench.Bench()
     bench.agent.take_grant(messages.Grant(1, 777, 3, False))
     bench.step()
@@ -208,12 +208,12 @@
         bench.agent.take_grant(messages.Grant(1, 778, 3, False))
         bench.step(0.05)
         counts.append(len(bench.conn.take(messages.Heartbeat)))
-    # Later each time: after 0.04, 0.08, 0.16, 0.32 and 0.4 s.
+    # The delay doubles up to the poll interval: 0.04, 0.08, 0.16, 0.32, 0.4 s.
     case.assertEqual(sum(counts), 4)
     case.assertEqual(counts[0], 1)
 
 
-def test_valid_grant_is_not_asked_for_before_the_next_beat(case):
+def test_valid_grant_causes_no_early_heartbeat(case):
     bench = agent_bench.Bench()
     bench.agent.take_grant(messages.Grant(1, 777, 3, True))
     bench.step()
--- a/packages/side/portwharf/side/at_most_once_machine_test.py
+++ b/packages/side/portwharf/side/at_most_once_machine_test.py
@@ -1,9 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Homes, rosters and callers in any order: nothing runs twice.
+"""Random walks over sides, rosters and callers: nothing runs twice.
 
-A machine of ``hypothesis`` over the real classes, and the rules that it, or a
-walk by hand, finds missing.
+A ``hypothesis`` state machine runs the real classes. A second test removes
+each safety rule in turn, and checks that the machine, or a fixed sequence of
+steps, detects it.
 """
 
 import collections
@@ -30,29 +31,31 @@
 
 
 class SkewedClock(clock.ManualClock):
-    """A clock that is set a little wrong."""
+    """A clock with a constant offset."""
 
-    def __init__(self, true, wrong_ms):
+    def __init__(self, true_clock, offset_ms):
         super().__init__()
-        self._true = true
-        self._wrong_ms = wrong_ms
+        self._true_clock = true_clock
+        self._offset_ms = offset_ms
 
     def read_unix_ms(self):
-        return self._true.read_unix_ms() + self._wrong_ms
+        return self._true_clock.read_unix_ms() + self._offset_ms
 
 
-class HomeMachine(stateful.RuleBasedStateMachine):
-    """Homes, rosters and callers in any order; the runs are the judge."""
+class AtMostOnceMachine(stateful.RuleBasedStateMachine):
+    """Sides, rosters and callers in any order; counts each request's runs."""
 
     def __init__(self):
         super().__init__()
-        self.true = clock.ManualClock()
+        self.true_clock = clock.ManualClock()
         self.guards = {name: at_most_once_test.FakeGuard() for name in NAMES}
-        self.homes = {}
+        self.policies = {}
         self.clocks = {}
         for number, name in enumerate(NAMES):
-            self.clocks[name] = SkewedClock(self.true, 250 * (number - 1))
-            self.boot(name)
+            self.clocks[name] = SkewedClock(
+                self.true_clock, 250 * (number - 1)
+            )
+            self.start_side(name)
         self.state = state.ShardState()
         vms = [data.Vm(name) for name in NAMES]
         self.state.apply(events.OwnerChanged(1, 'vm-0', vms))
@@ -70,16 +73,16 @@
         self.runs = collections.Counter()
         self.waiting = []
         self.settle()
-        self.true.advance(10)
+        self.true_clock.advance(10)
 
-    def boot(self, name):
-        """Start a side; its memory is empty."""
-        self.homes[name] = at_most_once.AtMostOncePolicy(
+    def start_side(self, name):
+        """Start a side process, which has no memory of earlier requests."""
+        self.policies[name] = at_most_once.AtMostOncePolicy(
             name, self.guards[name], self.clocks[name]
         )
 
     def follow(self):
-        """Let the owner look once."""
+        """Let the owner update its pending roster."""
         views = [
             vmview.VmView(
                 data.Vm(name),
@@ -89,37 +92,37 @@
         ]
         event, _ = self.keeper.follow(
             views,
-            self.true.read_unix_ms(),
+            self.true_clock.read_unix_ms(),
             lambda name: not self.guards[name].granted,
         )
         if event is not None:
             self.state.apply(event)
 
-    def tell(self, name):
-        """Let a side that has a grant hear of the rosters, and answer."""
+    def update_side(self, name):
+        """Send the rosters to a side with a grant, and take its reply."""
         if self.guards[name].granted:
-            self.homes[name].take_update(self.keeper.make_update(), 1)
-            self.keeper.note_ack(name, self.homes[name].seq)
+            self.policies[name].take_update(self.keeper.make_update(), 1)
+            self.keeper.note_ack(name, self.policies[name].seq)
 
     def settle(self):
-        """Let all hear of everything."""
+        """Let the owner and all sides agree on the rosters."""
         for _ in range(3):
             self.follow()
             for name in NAMES:
-                self.tell(name)
+                self.update_side(name)
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def hear(self, name):
-        """One side hears from the owner."""
+        """One side gets the rosters."""
         self.follow()
-        self.tell(name)
-        self.press()
+        self.update_side(name)
+        self.resend()
 
     @stateful.rule()
     def hear_all(self):
-        """All sides hear."""
+        """All sides get the rosters."""
         self.settle()
-        self.press()
+        self.resend()
 
     @stateful.rule(
         name=strategies.sampled_from(NAMES),
@@ -127,62 +130,62 @@
         acknowledged=strategies.booleans(),
     )
     def change_roster(self, name, heard, acknowledged):
-        """A VM goes or comes back, and some sides hear the end of it."""
+        """A VM leaves or returns, and only some sides learn of the result."""
         self.closed ^= {name}
         if len(self.closed) == len(NAMES):
             self.closed.clear()
         self.follow()
         for one in NAMES if acknowledged else ():
-            self.tell(one)
+            self.update_side(one)
         self.follow()
         for one in sorted(heard):
-            self.tell(one)
+            self.update_side(one)
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def lose_grant(self, name):
-        """A side's grant runs out."""
+        """A side's grant expires."""
         self.guards[name].granted = False
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def regain_grant(self, name):
-        """A side hears from the owner again, with the news."""
+        """A side gets a new grant, and the rosters."""
         self.guards[name].granted = True
-        self.tell(name)
-        self.press()
+        self.update_side(name)
+        self.resend()
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def restart(self, name):
-        """A side restarts and hears from the owner."""
-        self.boot(name)
-        self.tell(name)
-        self.press()
+        """A side restarts, and gets the rosters."""
+        self.start_side(name)
+        self.update_side(name)
+        self.resend()
 
     @stateful.rule(seconds=strategies.sampled_from((0.5, 1.5, 4.0)))
     def pass_time(self, seconds):
-        """Time goes by."""
-        self.true.advance(seconds)
-        self.press()
+        """Let time pass."""
+        self.true_clock.advance(seconds)
+        self.resend()
 
     @stateful.rule(
         order=strategies.permutations(NAMES),
-        wrong_ms=strategies.integers(-900, 900),
+        offset_ms=strategies.integers(-900, 900),
         asked=strategies.integers(1, len(NAMES)),
         at_once=strategies.booleans(),
     )
-    def send(self, order, wrong_ms, asked, at_once):
-        """A caller sends a new request, and again by other entries."""
-        made_ms = self.true.read_unix_ms() + wrong_ms
+    def send(self, order, offset_ms, asked, at_once):
+        """A caller sends a new request through several entries."""
+        made_ms = self.true_clock.read_unix_ms() + offset_ms
         request = at_most_once_test.make_id(made_ms, len(self.ids))
         self.ids.append(request)
         self.send_to(order[:asked], request, False, at_once)
 
-    def press(self):
-        """The caller sends its latest requests again, to all sides."""
+    def resend(self):
+        """Send the latest requests again, to all sides."""
         for request in self.ids[-2:]:
             self.send_to(NAMES, request, True, True)
 
     def send_to(self, names, request, sent_before, at_once):
-        """Ask some sides, and have their runners go on or not."""
+        """Send a request to some sides, and optionally run it at once."""
         for name in names:
             self.ask(name, request, sent_before)
             sent_before = True
@@ -190,26 +193,26 @@
                 self.run_waiting()
 
     def ask(self, name, request, sent_before):
-        """Ask a side; the queue before the runner may hold it up."""
-        verdict = self.homes[name].admit(
+        """Send a request to a side; an admitted one waits for the runner."""
+        verdict = self.policies[name].admit(
             request, at_most_once_test.SERVICE, sent_before
         )
         if verdict is None:
-            self.waiting.append((self.homes[name], request))
+            self.waiting.append((self.policies[name], request))
         elif sent_before and verdict.outcome == data.Outcome.NOT_RUN:
             assert not self.runs[request], 'called not run, but it ran'
 
     @stateful.rule()
     def run_waiting(self):
-        """The runners take what waits."""
-        for made, request in self.waiting:
-            if made not in self.homes.values():
+        """Run the requests that wait for the runners."""
+        for policy, request in self.waiting:
+            if policy not in self.policies.values():
                 continue
-            if made.may_run_now(request, at_most_once_test.SERVICE):
+            if policy.may_run_now(request, at_most_once_test.SERVICE):
                 self.runs[request] += 1
-                made.record(request, at_most_once_test.ANSWERED)
+                policy.record(request, at_most_once_test.ANSWERED)
             else:
-                made.record(request, admission.Verdict(reason='changed'))
+                policy.record(request, admission.Verdict(reason='changed'))
         self.waiting = []
 
     @stateful.invariant()
@@ -219,7 +222,7 @@
 
 
 def run_machine():
-    """Run the machine, the same way each time."""
+    """Run the state machine, with the same walks each time."""
     settings = hypothesis.settings(
         derandomize=True,
         database=None,
@@ -229,7 +232,7 @@
         suppress_health_check=list(hypothesis.HealthCheck),
         print_blob=False,
     )
-    stateful.run_state_machine_as_test(HomeMachine, settings=settings)
+    stateful.run_state_machine_as_test(AtMostOnceMachine, settings=settings)
 
 
 def test_any_order_runs_nothing_twice(case):
@@ -237,42 +240,42 @@
 
 
 def send_many(machine):
-    """Send new requests to all sides, some seconds after the changes."""
-    machine.true.advance(4)
+    """Send new requests to all sides, four seconds after a change."""
+    machine.true_clock.advance(4)
     for serial in range(40):
         request = at_most_once_test.make_id(
-            machine.true.read_unix_ms(), serial
+            machine.true_clock.read_unix_ms(), serial
         )
         machine.send_to(NAMES, request, False, True)
     machine.check()
 
 
-def walk_past_an_unheard_end():
-    """One side has not heard that the roster it acknowledged is in force."""
-    machine = HomeMachine()
+def miss_end_of_change():
+    """A side does not learn that a roster it acknowledged is in force."""
+    machine = AtMostOnceMachine()
     machine.closed = {NAMES[3]}
     machine.follow()
     for name in NAMES:
-        machine.tell(name)
+        machine.update_side(name)
     machine.follow()
     for name in NAMES[:3]:
-        machine.tell(name)
+        machine.update_side(name)
     send_many(machine)
 
 
-def walk_past_an_unheard_change():
-    """One side has not heard of a change at all, and holds a grant."""
-    machine = HomeMachine()
+def miss_whole_change():
+    """A side with a grant does not learn of a change at all."""
+    machine = AtMostOnceMachine()
     machine.closed = {NAMES[3]}
     for _ in range(3):
         machine.follow()
         for name in NAMES[:3]:
-            machine.tell(name)
+            machine.update_side(name)
     send_many(machine)
 
 
-def catches(run, cls, name, replacement):
-    """Tell whether a run fails when a rule is replaced."""
+def detects(run, cls, name, replacement):
+    """Tell whether a run fails when a function is replaced."""
     with mock.patch.object(cls, name, replacement):
         try:
             with contextlib.redirect_stdout(io.StringIO()):
@@ -283,7 +286,7 @@
 
 
 def test_each_rule_is_needed(case):
-    """Deliberate faults: each makes a request run twice."""
+    """Each removed rule lets a request run twice."""
     check = at_most_once.AtMostOncePolicy._check
 
     def ignore_former(self, *arguments):
@@ -304,25 +307,25 @@
             _forget,
         ),
         'pending rosters ignored': (
-            walk_past_an_unheard_end,
+            miss_end_of_change,
             at_most_once.AtMostOncePolicy,
             '_is_current_home',
             lambda self, request, service: True,
         ),
         'pending rosters put in force at once': (
-            walk_past_an_unheard_change,
+            miss_whole_change,
             rosters.RosterKeeper,
             '_conclude',
-            _conclude_at_once,
+            _apply_at_once,
         ),
     }
     for name, fault in faults.items():
         with case.subTest(name):
             fault[0]()
-            case.assertTrue(catches(*fault))
+            case.assertTrue(detects(*fault))
 
 
-def _conclude_at_once(self, now_ms, has_lapsed):
+def _apply_at_once(self, now_ms, has_lapsed):
     roster = data.Roster(self._pending.seq, now_ms, self._pending.services)
     self._pending = None
     return events.RosterChanged(roster), True
--- a/packages/side/portwharf/side/crashes_test.py
+++ b/packages/side/portwharf/side/crashes_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A side tells a crash of its worker from all else that ends an attempt."""
+"""A worker crash is told apart from other causes of lost attempts."""
 
 import dataclasses
 
@@ -15,21 +15,21 @@
 from portwharf.testing import agent_bench
 from portwharf import workers
 
-# Lives of a worker under one id.
+# Two incarnations of the same worker.
 FIRST = data.LifeId('worker', 2)
 SECOND = data.LifeId('worker', 1)
 
 
-class MortalWorker(agent_bench.FakeWorker):
-    """A worker that can crash and come back as another life."""
+class CrashingWorker(agent_bench.FakeWorker):
+    """A worker that can crash and return as another incarnation."""
 
     def __init__(self, now):
         super().__init__(now)
         self.life = FIRST
         self.absent = False
         self.draining = False
-        # The next start ends it before it has answered.
-        self.doomed = False
+        # The worker crashes at the next start, before it answers.
+        self.crashes_on_start = False
 
     def read_listing(self):
         listing = super().read_listing().ok_value
@@ -39,22 +39,22 @@
         return result.Ok(listing)
 
     def start(self, start):
-        if not self.doomed:
+        if not self.crashes_on_start:
             return super().start(start)
         self.crash()
         return result.Err('closed')
 
     def crash(self, life=None):
-        """End, or be another life at once."""
+        """Crash, and return at once if an incarnation is given."""
         self.listing = dataclasses.replace(self.listing, attempts=[])
         self.absent = life is None
         self.life = life
 
 
 def make_bench():
-    """Return an agent under a grant, with a worker that can crash."""
+    """Return a bench under a grant, with a worker that can crash."""
     bench = agent_bench.Bench()
-    bench.worker = MortalWorker(bench.clock)
+    bench.worker = CrashingWorker(bench.clock)
     bench.agent = agent.Agent(
         bench.worker, bench.guard, agent_bench.LIMITS, bench.clock, bench._note
     )
@@ -65,7 +65,7 @@
 
 
 def list_gone(bench):
-    """Return name, reason, crash and age of what was told to be gone."""
+    """Return task, reason, crash and run time of the lost attempts."""
     return [
         (report.task, report.reason, report.crash, report.ran_ms)
         for message in bench.conn.take(messages.Reports)
@@ -74,33 +74,33 @@
     ]
 
 
-def test_crash_is_told_with_the_age_of_what_ran(case):
+def test_crash_report_has_the_run_time(case):
     bench = make_bench()
     bench.start()
     bench.worker.crash()
     bench.step(0.5)
-    told = [('w.0', reports.REASON_CRASHED, FIRST.name, 500)]
-    case.assertEqual(list_gone(bench), told)
+    reported = [('w.0', reports.REASON_CRASHED, FIRST.name, 500)]
+    case.assertEqual(list_gone(bench), reported)
 
 
-def test_crash_is_seen_when_the_next_life_is_there_already(case):
+def test_crash_is_detected_when_the_worker_is_already_back(case):
     bench = make_bench()
     bench.start()
     bench.worker.crash(life=SECOND)
     bench.step(0.5)
-    told = [('w.0', reports.REASON_CRASHED, FIRST.name, 500)]
-    case.assertEqual(list_gone(bench), told)
+    reported = [('w.0', reports.REASON_CRASHED, FIRST.name, 500)]
+    case.assertEqual(list_gone(bench), reported)
 
 
-def test_start_without_an_answer_may_have_begun_under_a_crash(case):
+def test_unconfirmed_start_is_reported_with_the_crash(case):
     bench = make_bench()
-    bench.worker.doomed = True
+    bench.worker.crashes_on_start = True
     bench.start()
-    told = [('w.0', reports.REASON_CRASHED, FIRST.name, crashes.UNKNOWN)]
-    case.assertEqual(list_gone(bench), told)
+    reported = [('w.0', reports.REASON_CRASHED, FIRST.name, crashes.UNKNOWN)]
+    case.assertEqual(list_gone(bench), reported)
 
 
-def test_all_that_a_crash_ended_is_told_at_once(case):
+def test_crash_is_reported_in_one_message_for_all_attempts(case):
     bench = make_bench()
     bench.start('w.0')
     bench.start('w.1')
@@ -111,7 +111,7 @@
     case.assertEqual(len(message.reports), 2)
 
 
-def test_crash_is_told_again_to_an_owner_that_missed_it(case):
+def test_crash_is_reported_again_to_a_new_owner(case):
     bench = make_bench()
     bench.start()
     bench.worker.crash()
@@ -122,31 +122,31 @@
     bench.step(1)
     list_gone(bench)
     bench.start()
-    (told,) = list_gone(bench)
-    case.assertEqual(told[1:3], (reports.REASON_CRASHED, FIRST.name))
+    (reported,) = list_gone(bench)
+    case.assertEqual(reported[1:3], (reports.REASON_CRASHED, FIRST.name))
 
 
-def test_worker_that_leaves_as_it_said_has_not_crashed(case):
+def test_draining_worker_that_leaves_has_not_crashed(case):
     bench = make_bench()
     bench.start()
     bench.worker.draining = True
     bench.step(0.5)
     bench.worker.crash()
     bench.step(0.5)
-    told = [('w.0', losses.GONE_UNLISTED, '', 0)]
-    case.assertEqual(list_gone(bench), told)
+    reported = [('w.0', losses.GONE_UNLISTED, '', 0)]
+    case.assertEqual(list_gone(bench), reported)
 
 
-def test_attempt_that_is_not_listed_any_more_saw_no_crash(case):
+def test_unlisted_attempt_is_gone_without_a_crash(case):
     bench = make_bench()
     bench.start()
     bench.worker.listing.attempts = []
     bench.step(0.5)
-    told = [('w.0', losses.GONE_UNLISTED, '', 0)]
-    case.assertEqual(list_gone(bench), told)
+    reported = [('w.0', losses.GONE_UNLISTED, '', 0)]
+    case.assertEqual(list_gone(bench), reported)
 
 
-def test_first_look_at_a_worker_shows_no_crash(case):
+def test_first_listing_shows_no_crash(case):
     watch = crashes.CrashTracker()
     listing = workers.Listing(life=FIRST)
     case.assertFalse(watch.detect_crash(listing))
--- a/packages/side/portwharf/side/losses_test.py
+++ b/packages/side/portwharf/side/losses_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A side beside a worker that does not answer, leaves, or begins anew."""
+"""An agent whose worker does not respond, leaves or restarts."""
 
 import result
 
@@ -42,7 +42,7 @@
     case.assertEqual(bench.list_refused(), [])
 
 
-def test_refusal_after_a_lost_answer_is_not_believed(case):
+def test_refusal_after_a_lost_answer_is_ignored(case):
     bench = agent_bench.Bench()
     bench.grant()
     refused = result.Ok(workers.REFUSED_ROOM)
@@ -65,14 +65,14 @@
     case.assertEqual(len(starts), 1)
 
 
-def test_silent_worker_offers_nothing(case):
+def test_silent_worker_has_no_capacity(case):
     bench = agent_bench.Bench()
     bench.grant()
     bench.worker.read_listing = lambda: result.Err('silent')
     for _ in range(4):
         bench.step(0.5)
-    beat = bench.conn.take(messages.Heartbeat)[-1]
-    case.assertEqual(beat.capacity, data.Resources())
+    heartbeat = bench.conn.take(messages.Heartbeat)[-1]
+    case.assertEqual(heartbeat.capacity, data.Resources())
 
 
 def test_attempts_of_a_silent_worker_are_gone_once_all_leases_lapsed(case):
@@ -111,11 +111,11 @@
     bench.conn.take(messages.Reports)
     bench.start()
     case.assertEqual(bench.list_refused(), [agent.REFUSED_LEAVING])
-    beat = bench.conn.take(messages.Heartbeat)[-1]
-    case.assertTrue(beat.draining)
+    heartbeat = bench.conn.take(messages.Heartbeat)[-1]
+    case.assertTrue(heartbeat.draining)
 
 
-def test_stop_is_sent_until_it_shows(case):
+def test_stop_is_resent_until_it_takes_effect(case):
     bench = agent_bench.Bench()
     bench.grant()
     bench.start()
@@ -127,13 +127,13 @@
     case.assertGreater(len(stops), 1)
 
 
-def test_start_that_waited_past_its_grant_does_not_begin_under_the_next(case):
-    """Grants overtake commands, which wait for the agent's thread.
+def test_start_queued_under_an_expired_grant_is_not_started(case):
+    """A grant that overtakes a queued command does not cover it.
 
-    While that waits for its worker the VM is silent, although signs of life
-    keep the connection open. The owner runs the task again elsewhere, and
-    answers the next heartbeat with a grant: it must not have the command
-    from before obeyed.
+    Commands wait for the agent's thread. While the thread waits for the
+    worker, the VM is silent to the owner, although its connection stays open.
+    The owner starts the task elsewhere, and answers the next heartbeat with a
+    grant, which must not cover the older command.
     """
     bench = agent_bench.Bench()
     bench.grant()
@@ -158,17 +158,17 @@
     bench.conn.take(messages.Heartbeat)
     bench.agent.step()
     case.assertEqual(len(bench.conn.take(messages.Heartbeat)), 1)
-    # Its answer comes while the agent is at the command after.
+    # The grant arrives before the agent reaches the queued command.
     bench.grant()
     bench.step()
-    begun = [call for call in bench.worker.calls if call[0] == 'start']
-    case.assertEqual(begun, [])
+    started = [call for call in bench.worker.calls if call[0] == 'start']
+    case.assertEqual(started, [])
 
 
-def test_unanswered_stops_for_want_of_a_grant_cost_one_call_a_look(case):
-    """Each costs the time that an answer is waited for.
+def test_unanswered_stops_without_a_grant_cost_one_call_per_poll(case):
+    """Each costs a full time-out, which delays the next heartbeat.
 
-    The heartbeat that would bring the next grant waits as long.
+    A delayed heartbeat delays the grant that it would bring.
     """
     bench = agent_bench.Bench()
     bench.grant()
@@ -187,7 +187,7 @@
 
 
 def test_start_without_an_answer_takes_its_room(case):
-    """It may run, or later: what comes next must not go over the room."""
+    """The attempt may run, so its resources count as used."""
     bench = agent_bench.Bench()
     bench.grant()
     lost = bench.worker.start
@@ -202,12 +202,14 @@
     case.assertEqual(bench.list_refused(), [agent.REFUSED_CAPACITY])
 
 
-def test_changed_room_is_told_at_once(case):
+def test_changed_capacity_is_reported_at_once(case):
     bench = agent_bench.Bench()
     bench.grant()
     bench.step(1)
     bench.conn.take(messages.Heartbeat)
     bench.worker.listing.capacity = agent_bench.SIZE
     bench.step(0.5)
-    beats = bench.conn.take(messages.Heartbeat)
-    case.assertEqual([beat.capacity for beat in beats], [agent_bench.SIZE])
+    heartbeats = bench.conn.take(messages.Heartbeat)
+    case.assertEqual(
+        [heartbeat.capacity for heartbeat in heartbeats], [agent_bench.SIZE]
+    )
--- a/packages/side/portwharf/side/pacing_log_test.py
+++ b/packages/side/portwharf/side/pacing_log_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An episode of pacing gives a few lines that tell its causes apart."""
+"""The log lines of pacing tell the causes of a missed target apart."""
 
 import logging
 
@@ -12,18 +12,18 @@
 
 
 def make_attempt(tail_ms=30, task='s.0'):
-    """Return a serving attempt with a tail."""
+    """Return a serving attempt with a tail latency."""
     return workers.Attempt(task, 1, tail_ms=tail_ms)
 
 
 def list_lines(case, act):
-    """Return the messages that are logged while something is done."""
+    """Return the messages that a function logs."""
     with case.assertLogs(pacing_log.LOG, logging.INFO) as caught:
         act()
     return [record.getMessage() for record in caught.records]
 
 
-def test_strangers_are_told_of_once_and_when_they_are_known(case):
+def test_unknown_attempts_are_logged_once_and_when_known(case):
     log = pacing_log.PacingLog()
 
     def act():
@@ -41,7 +41,7 @@
     )
 
 
-def test_target_missed_for_long_has_a_line_at_both_ends(case):
+def test_long_target_miss_is_logged_at_start_and_end(case):
     log = pacing_log.PacingLog()
 
     def act():
@@ -55,7 +55,7 @@
     )
 
 
-def test_short_swing_has_no_line(case):
+def test_short_target_miss_is_not_logged(case):
     log = pacing_log.PacingLog()
     with case.assertNoLogs(pacing_log.LOG):
         log.record_tail(make_attempt(30), 20, 0.5, 1, 0.0)
@@ -63,7 +63,7 @@
         log.record_tail(make_attempt(30), 20, 0.5, 1, 0.8)
 
 
-def test_lost_paces_are_counted_and_told_of_now_and_then(case):
+def test_failed_throttle_commands_are_counted_and_logged_rarely(case):
     log = pacing_log.PacingLog()
     pace = pacing.Pace('f.0', 1, 10)
 
--- a/packages/side/portwharf/side/pacing_simulation_test.py
+++ b/packages/side/portwharf/side/pacing_simulation_test.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A burst of jobs on one VM, played: what their callers get, and when.
+"""Simulates a burst of jobs on one VM and measures their latencies.
 
-The VM's server bears a few tasks at work; eight jobs of two to nine tasks,
-of three images that press differently, come within four seconds. The pacer is
-the real one, with what it knows of pairs; time, tails and what gets done are
-worked out here.
+The VM runs a serving task that tolerates a few filling tasks. Eight jobs of
+two to nine tasks, from three images with different interference, arrive within
+four seconds. The pacer is the real one and knows the interference; time, tail
+latency and progress are simulated.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 POLL_MS = 400
 OBJECTIVE_MS = 18_000
 PRESSES = {'a': 2.0, 'b': 4.0, 'c': 6.0}
-# Image and tasks of each job, in the order in which they come.
+# Image and number of tasks of each job, in order of arrival.
 BURST = (
     ('b', 9),
     ('a', 8),
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass
 class Job:
-    """One job of some tasks, each with what it has got done, in ms."""
+    """One job, with the completed run time of each task in ms."""
 
     name: str
     image: str
@@ -48,20 +48,20 @@
     ended_ms: int = 0
 
     def list_left(self):
-        """Return the numbers of the tasks that are not done."""
+        """Return the numbers of the unfinished tasks."""
         return [n for n, done in enumerate(self.done) if done < RUN_MS]
 
     def measure_left(self):
-        """Return what is left, in processor seconds."""
+        """Return the remaining work, in CPU seconds."""
         return len(self.list_left()) * TASK_MILLI * RUN_MS / 1e6
 
 
-class World:
-    """One VM with a server and the tasks of a burst."""
+class Simulation:
+    """One VM with a serving task and the jobs of a burst."""
 
-    def __init__(self, told):
-        """Take whether the side is told what is left of jobs."""
-        self._told = told
+    def __init__(self, with_claims):
+        """Take whether the side knows the remaining work of the jobs."""
+        self._with_claims = with_claims
         self.now_ms = 0
         self.worst_tail_ms = 0.0
         self.pacer = pacing.Pacer()
@@ -78,7 +78,7 @@
         self._paces = {}
 
     def add(self, image, count):
-        """Have a job come, all of whose tasks begin."""
+        """Start a new job with all of its tasks."""
         name = f'{len(self.jobs):016x}'
         job = Job(name, image, self.now_ms, [0.0] * count)
         self.jobs.append(job)
@@ -88,24 +88,24 @@
                 program=image,
                 fill_milli=TASK_MILLI,
             )
-            if self._told:
+            if self._with_claims:
                 start.left = job.measure_left()
                 start.due_ms = self.now_ms + OBJECTIVE_MS
                 start.late_ms = self.now_ms + 3 * OBJECTIVE_MS
             self.pacer.note_start(start)
 
     def step(self):
-        """Let one poll's time pass."""
+        """Advance by one poll interval."""
         running = [
             (job, n, self._paces.get(f'{job.name}.0.0.{n}', 100) / 100)
             for job in self.jobs
             for n in job.list_left()
         ]
         share = TASK_MILLI / CORES_MILLI
-        pressed = share * sum(
+        interference = share * sum(
             PRESSES[job.image] * pace for job, _, pace in running
         )
-        tail_ms = BASE_TAIL_MS * math.exp(pressed)
+        tail_ms = BASE_TAIL_MS * math.exp(interference)
         if self.now_ms > len(BURST) * POLL_MS:
             self.worst_tail_ms = max(self.worst_tail_ms, tail_ms)
         self.now_ms += POLL_MS
@@ -116,7 +116,7 @@
         self._pace(running, tail_ms)
 
     def _pace(self, running, tail_ms):
-        """Have the pacer see what runs, and do what it says."""
+        """Let the pacer plan from a listing, and apply its shares."""
         state = data.RunState.RUNNING
         attempts = [workers.Attempt('s.0.0.0', 1, state, tail_ms=int(tail_ms))]
         for job, n, pace in running:
@@ -130,32 +130,32 @@
             self._paces[one.task] = one.percent
 
 
-def play(told):
-    """Play the burst to its end.
+def simulate(with_claims):
+    """Run the burst to its end.
 
-    :returns: the world, and how long each job took, in order, in ms
+    :returns: the simulation, and the latency of each job in ms
     """
-    world = World(told)
+    simulation = Simulation(with_claims)
     for image, count in BURST:
-        world.add(image, count)
-        world.step()
-    while not all(job.ended_ms for job in world.jobs):
-        world.step()
-    return world, [job.ended_ms - job.came_ms for job in world.jobs]
+        simulation.add(image, count)
+        simulation.step()
+    while not all(job.ended_ms for job in simulation.jobs):
+        simulation.step()
+    return simulation, [job.ended_ms - job.came_ms for job in simulation.jobs]
 
 
 def count_in_time(times):
-    """Return how many jobs ended within their objective."""
+    """Return the number of jobs that met their objective."""
     return sum(1 for time in times if time <= OBJECTIVE_MS)
 
 
-def test_burst_ends_job_by_job_and_not_all_late_together(case):
-    told, times = play(told=True)
-    _, before = play(told=False)
-    # By what is left of the jobs, against the lightest first.
-    case.assertGreater(count_in_time(times), count_in_time(before))
-    case.assertLess(sum(times), 0.85 * sum(before))
-    # Nobody waits for longer than all of it takes in any order.
-    case.assertLessEqual(max(times), max(before) + 10 * POLL_MS)
-    # And what serves keeps its target meanwhile.
-    case.assertLessEqual(told.worst_tail_ms, TARGET_MS)
+def test_claims_let_more_jobs_of_a_burst_end_in_time(case):
+    simulation, times = simulate(with_claims=True)
+    _, baseline = simulate(with_claims=False)
+    # By remaining work, compared with the least interference first.
+    case.assertGreater(count_in_time(times), count_in_time(baseline))
+    case.assertLess(sum(times), 0.85 * sum(baseline))
+    # No job waits longer than all of the work takes in any order.
+    case.assertLessEqual(max(times), max(baseline) + 10 * POLL_MS)
+    # The serving task meets its target in the meantime.
+    case.assertLessEqual(simulation.worst_tail_ms, TARGET_MS)
--- a/packages/side/portwharf/side/pacing_test.py
+++ b/packages/side/portwharf/side/pacing_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What fills gives way to what serves, the heaviest first."""
+"""Filling tasks are throttled to protect serving ones, heaviest first."""
 
 from portwharf.core import data
 from portwharf.peers import messages
@@ -10,7 +10,10 @@
 
 
 def make_pacer(**presses):
-    """Return a pacer that knows a server and the presses of images."""
+    """Return a pacer that knows a serving task and filling images.
+
+    :param presses: interference by filling image
+    """
     pacer = pacing.Pacer()
     start = messages.StartTask(task='s.0', program='desk', target_ms=20)
     pacer.note_start(start)
@@ -27,7 +30,7 @@
 
 
 def make_listing(tail_ms, *images, used=4000):
-    """Return a listing of the server and filling tasks."""
+    """Return a listing of the serving and the filling tasks."""
     running = data.RunState.RUNNING
     attempts = [workers.Attempt('s.0', 1, running, tail_ms=tail_ms)]
     for image in images:
@@ -41,12 +44,12 @@
     return {one.task: one.percent for one in pacer.plan(listing, now)}
 
 
-def test_light_work_is_not_paced(case):
+def test_light_work_is_not_throttled(case):
     pacer = make_pacer(light=0.1)
     case.assertEqual(plan(pacer, make_listing(10, 'light')), {})
 
 
-def test_heavy_work_gives_way_before_light_work(case):
+def test_heavy_work_is_throttled_before_light_work(case):
     pacer = make_pacer(light=0.2, heavy=8.0)
     changes = plan(pacer, make_listing(16, 'light', 'heavy', used=100))
     case.assertNotIn('light.0', changes)
@@ -59,7 +62,7 @@
     case.assertLessEqual(changes['light.0'], 50)
 
 
-def test_brake_is_released_when_there_is_room(case):
+def test_throttle_is_released_when_there_is_headroom(case):
     pacer = make_pacer(light=0.1)
     plan(pacer, make_listing(30, 'light'))
     changes = {}
@@ -68,14 +71,14 @@
     case.assertEqual(changes['light.0'], pacing.FULL)
 
 
-def test_server_that_has_just_begun_has_heavy_work_give_way(case):
+def test_unmeasured_server_throttles_heavy_work(case):
     pacer = make_pacer(light=0.1, heavy=8.0)
     changes = plan(pacer, make_listing(0, 'light', 'heavy'))
     case.assertNotIn('light.0', changes)
     case.assertLess(changes['heavy.0'], 20)
 
 
-def test_unknown_work_is_paced_as_if_it_might_be_heavy(case):
+def test_unknown_work_is_throttled_as_if_it_might_be_heavy(case):
     pacer = make_pacer(light=0.1)
     start = messages.StartTask(task='new.0', program='new', fill_milli=4000)
     pacer.note_start(start)
@@ -83,14 +86,14 @@
     case.assertLess(changes['new.0'], 50)
 
 
-def test_nothing_is_paced_without_a_server(case):
+def test_nothing_is_throttled_without_a_server(case):
     pacer = make_pacer(heavy=30.0)
     listing = make_listing(90, 'heavy')
     del listing.attempts[0]
     case.assertEqual(plan(pacer, listing), {})
 
 
-def test_change_that_did_not_arrive_is_made_again(case):
+def test_lost_change_is_sent_again(case):
     pacer = make_pacer(light=0.1)
     (change,) = pacer.plan(make_listing(30, 'light'), 0.0)
     pacer.forget_sent(change)
@@ -108,7 +111,7 @@
     case.assertEqual(pacer.take_observed(), [])
 
 
-def test_owner_is_told_what_is_paced_and_what_has_room(case):
+def test_owner_gets_throttled_tasks_and_headrooms(case):
     pacer = make_pacer(light=0.1)
     pacer.plan(make_listing(30, 'light'), 0.0)
     (paced,) = pacer.list_paced()
@@ -126,7 +129,7 @@
     case.assertIn('light.0', plan(pacer, make_listing(30, 'light')))
 
 
-def test_release_that_did_not_arrive_is_made_again(case):
+def test_lost_release_is_sent_again(case):
     pacer = make_pacer(light=0.1)
     plan(pacer, make_listing(30, 'light'))
     for step in range(8):
@@ -137,7 +140,7 @@
     case.assertEqual(changes, {'light.0': pacing.FULL})
 
 
-def test_task_that_is_told_of_again_keeps_its_share(case):
+def test_task_described_again_keeps_its_share(case):
     pacer = make_pacer(light=0.1)
     plan(pacer, make_listing(30, 'light'))
     held = messages.HeldTask('light.0', 1, program='light', fill_milli=4000)
@@ -148,10 +151,10 @@
 
 
 def test_what_fills_stands_still_beside_a_server_that_is_late(case):
-    """Several tasks at the least still press on a server near its target.
+    """Several tasks at the least share still interfere.
 
-    On a day of high load a server was over its target for 4 s on end, with
-    eight filling tasks beside it, most of them paced to the least.
+    Under high load a serving task was over its target for 4 s, beside eight
+    filling tasks of which most were throttled to the least share.
     """
     pacer = make_pacer(light=0.1, heavy=8.0)
     paces = {}
@@ -161,7 +164,7 @@
     case.assertEqual(paces, {'light.0': 0, 'heavy.0': 0})
 
 
-def test_what_stood_still_works_again_once_the_server_is_well(case):
+def test_suspended_work_resumes_once_the_target_is_met(case):
     pacer = make_pacer(light=0.1)
     for number in range(5):
         plan(pacer, make_listing(30, 'light'), 0.4 * number)
--- a/packages/side/portwharf/side/runtimes_test.py
+++ b/packages/side/portwharf/side/runtimes_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""How long tasks run is told from their progress, paced or resumed or not."""
+"""Run times are estimated from progress, also when throttled or resumed."""
 
 from portwharf.core import data
 from portwharf.peers import messages
@@ -11,25 +11,25 @@
 
 
 def make_attempt(percent, **fields):
-    """Return an attempt that has come so far."""
+    """Return an attempt with some progress, in percent."""
     values = {'task': TASK, 'attempt': 1, 'state': data.RunState.RUNNING}
     values |= {'percent': percent, 'kind': data.Kind.BATCH}
     return workers.Attempt(**{**values, **fields})
 
 
 def begin(estimator, now=0.0, checkpoint=''):
-    """Note a start."""
+    """Record a start."""
     start = workers.Start(TASK, 1, checkpoint=checkpoint)
     start.kind = data.Kind.BATCH
     estimator.record_start(start, now)
 
 
 def paced(percent):
-    """Return what the pacer tells of a task that it paces."""
+    """Return the shares of a task that is throttled."""
     return [messages.PacedTask(TASK, 1, percent)]
 
 
-def test_run_time_follows_from_a_third_of_it(case):
+def test_run_time_is_extrapolated_from_a_third(case):
     estimator = runtimes.RuntimeEstimator()
     begin(estimator)
     estimator.update([make_attempt(20)], [], 0.5)
@@ -42,7 +42,7 @@
     case.assertEqual(estimator.take_estimates(), [])
 
 
-def test_task_that_is_soon_done_is_measured_by_its_end(case):
+def test_short_task_is_measured_at_its_end(case):
     estimator = runtimes.RuntimeEstimator()
     begin(estimator)
     done = make_attempt(0, state=data.RunState.SUCCEEDED)
@@ -52,7 +52,7 @@
     )
 
 
-def test_time_at_half_the_pace_counts_half(case):
+def test_time_at_half_share_counts_half(case):
     estimator = runtimes.RuntimeEstimator()
     begin(estimator)
     estimator.update([make_attempt(10)], paced(50), 0.4)
@@ -63,7 +63,7 @@
     )
 
 
-def test_task_that_hardly_worked_is_not_measured(case):
+def test_task_at_a_tiny_share_is_not_measured(case):
     estimator = runtimes.RuntimeEstimator()
     begin(estimator)
     estimator.update([make_attempt(10)], paced(3), 0.4)
@@ -71,7 +71,7 @@
     case.assertEqual(estimator.take_estimates(), [])
 
 
-def test_resumed_task_is_measured_from_where_it_shows_progress(case):
+def test_resumed_task_is_measured_from_its_first_progress(case):
     estimator = runtimes.RuntimeEstimator()
     begin(estimator, checkpoint='saved')
     estimator.update([make_attempt(0)], [], 0.4)
@@ -82,11 +82,11 @@
     )
 
 
-def test_lasting_task_is_not_measured(case):
+def test_standing_task_is_not_measured(case):
     estimator = runtimes.RuntimeEstimator()
-    lasting = make_attempt(100, kind=data.Kind.STANDING)
-    estimator.update([lasting], [], 1.0)
-    estimator.update([lasting], [], 9.0)
+    standing = make_attempt(100, kind=data.Kind.STANDING)
+    estimator.update([standing], [], 1.0)
+    estimator.update([standing], [], 9.0)
     case.assertEqual(estimator.take_estimates(), [])
 
 
@@ -98,7 +98,7 @@
     case.assertEqual(estimator.take_estimates(), [])
 
 
-def test_what_waits_for_a_heartbeat_is_bounded(case):
+def test_due_estimates_are_bounded(case):
     estimator = runtimes.RuntimeEstimator()
     for number in range(2 * runtimes.MAX_DUE):
         start = workers.Start(f'job.0.0.{number}', 1)
--- a/packages/side/portwharf/side/settings_test.py
+++ b/packages/side/portwharf/side/settings_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The side's settings: the examples are good, mistakes are named."""
+"""The example settings are valid; problems name their field."""
 
 import pathlib
 import tempfile
@@ -20,7 +20,7 @@
 
 
 def list_fields(case, text):
-    """Return the fields that a text has problems in."""
+    """Return the fields in which a text has problems."""
     return {problem.field for problem in read(case, text).err_value}
 
 
@@ -31,7 +31,7 @@
     case.assertIsNotNone(cfg.tls)
 
 
-def test_mistakes_are_found_together(case):
+def test_all_problems_are_reported(case):
     text = GOOD.replace('port = 7100', 'port = 71000')
     text = text.replace('address = "10.0.0.2"', 'adress = "10.0.0.2"')
     case.assertEqual(
@@ -39,14 +39,14 @@
     )
 
 
-def test_plain_text_has_to_be_asked_for(case):
+def test_plain_text_needs_an_explicit_setting(case):
     head, _, _ = GOOD.partition('[tls]')
     case.assertEqual(list_fields(case, head + '[tls]\n'), {'tls'})
     made = read(case, head + '[tls]\nplaintext = true\n').ok_value
     case.assertIsNone(made.tls)
 
 
-def test_limits_have_to_go_together(case):
+def test_inconsistent_limits_are_rejected(case):
     text = GOOD + '[limits]\nheartbeat_seconds = 2.0\n'
     case.assertEqual(list_fields(case, text), {'limits.confirm_seconds'})
 
--- a/packages/side/portwharf/side/sight_test.py
+++ b/packages/side/portwharf/side/sight_test.py
@@ -1,14 +1,15 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A side that cannot look at its worker says so, and says nothing untrue.
-
-What users saw: a lasting task's lease lapsed on a VM whose side had just
-started again, and nothing ran it any more, with room elsewhere. Its side
-sent heartbeats and got grants, but could not look at its worker, so that it
-never told the owner what runs there; and as it was heard the owner did not
-give the task up either. The log of such a side shows ``worker does not
-answer`` and ``following owner`` and nothing after them; the tests below
-bring it about with a worker that stays silent.
+"""A side reports correctly while its worker does not respond.
+
+Failure: the lease of a standing task expired on a VM whose side had just
+restarted, and the task was not started again although there was capacity
+elsewhere. The side sent heartbeats and got grants, but could not read its
+worker's listing, so it never reported what runs there; and because it was
+heard, the owner did not give the task up either. The log of such a side ended
+with ``worker does not answer`` and ``following owner`` (the former is now
+``worker not responding``). The tests below reproduce it with a worker that
+stays silent.
 """
 
 import result
@@ -19,12 +20,12 @@
 from portwharf import workers
 
 LIMITS = agent_bench.LIMITS
-# Every lease that a former life of the side gave has run out after it.
-LAPSED = LIMITS.replace_after_grant + 1.0
+# By then every lease granted by the side's previous process has expired.
+LEASES_EXPIRED_SECONDS = LIMITS.replace_after_grant + 1.0
 
 
-def silence(bench):
-    """Have a worker leave everything unanswered."""
+def silence_worker(bench):
+    """Have the worker stop responding."""
     lost = result.Err('silent')
     bench.worker.read_listing = lambda: lost
     bench.worker.renew = lambda until_ms: lost
@@ -32,37 +33,37 @@
 
 
 def wait(bench, seconds):
-    """Let time go by in small steps."""
+    """Let time pass in small steps."""
     for _ in range(int(seconds / 0.5)):
         bench.step(0.5)
 
 
-class Restarted(agent_bench.Bench):
+class RestartedBench(agent_bench.Bench):
     """A side that has just started beside a silent worker."""
 
     def connect(self):
         if 'read_listing' not in vars(self.worker):
-            silence(self)
+            silence_worker(self)
         return super().connect()
 
 
-def take_whole(conn):
-    """Return the whole reports that were sent since last time."""
+def take_full_reports(conn):
+    """Return the full reports that were sent since the last call."""
     return [m for m in conn.take(messages.Reports) if m.whole]
 
 
-def test_restarted_side_says_that_it_knows_of_nothing(case):
-    bench = Restarted()
+def test_restarted_side_reports_no_attempts_once_leases_expire(case):
+    bench = RestartedBench()
     wait(bench, LIMITS.replace_after_grant - 0.5)
-    case.assertEqual(take_whole(bench.conn), [])
+    case.assertEqual(take_full_reports(bench.conn), [])
     wait(bench, 1.5)
-    (message,) = take_whole(bench.conn)
+    (message,) = take_full_reports(bench.conn)
     case.assertEqual(message.reports, [])
 
 
-def test_what_is_then_told_to_begin_is_refused(case):
-    bench = Restarted()
-    wait(bench, LAPSED)
+def test_start_after_all_leases_expired_is_refused(case):
+    bench = RestartedBench()
+    wait(bench, LEASES_EXPIRED_SECONDS)
     bench.grant()
     bench.start()
     case.assertEqual(len(bench.list_refused()), 1)
@@ -71,25 +72,25 @@
     case.assertEqual(bench.worker.calls, [])
 
 
-def test_next_owner_hears_what_the_former_one_was_told(case):
-    """The news that an attempt is gone may be lost with a connection."""
+def test_next_owner_gets_the_report_again(case):
+    """The report that an attempt is gone may be lost with a connection."""
     bench = agent_bench.Bench()
     bench.grant()
     bench.start()
     bench.step(0.5)
-    silence(bench)
-    wait(bench, LAPSED + 1.0)
+    silence_worker(bench)
+    wait(bench, LEASES_EXPIRED_SECONDS + 1.0)
     bench.conn = bench.connect()
-    (message,) = take_whole(bench.conn)
+    (message,) = take_full_reports(bench.conn)
     case.assertEqual(message.reports, [])
 
 
-def test_stop_before_the_first_look_does_not_make_a_task_gone(case):
-    """The former life of the side may have begun it, and it may run.
+def test_stop_before_the_first_listing_does_not_report_a_task_as_gone(case):
+    """A previous side process may have started it, and it may still run.
 
-    The owner would run it a second time at once.
+    The owner would start it a second time at once.
     """
-    bench = Restarted()
+    bench = RestartedBench()
     bench.conn.take(messages.Reports)
     stop = messages.StopTask(3, 'w.0', 1, True)
     bench.agent.command(bench.conn, stop)
@@ -97,9 +98,9 @@
     case.assertEqual(agent_bench.list_gone(bench), [])
 
 
-def test_start_before_the_first_look_is_not_refused(case):
-    """It may be the second copy of one that was obeyed before."""
-    bench = Restarted()
+def test_start_before_the_first_listing_is_not_refused(case):
+    """It may be the duplicate of a command that was carried out before."""
+    bench = RestartedBench()
     bench.grant()
     bench.start()
     case.assertEqual(bench.list_refused(), [])
@@ -111,7 +112,7 @@
     bench.grant()
     lost = result.Err('lost')
     agent_bench.lose_answers(bench, lost, lost)
-    silence(bench)
+    silence_worker(bench)
     bench.start()
     wait(bench, LIMITS.guard + LIMITS.lease - 1.0)
     case.assertEqual(agent_bench.list_gone(bench), [])
@@ -124,7 +125,7 @@
     bench.grant()
     lost = result.Err('lost')
     agent_bench.lose_answers(bench, lost, lost)
-    silence(bench)
+    silence_worker(bench)
     absent = workers.Listing(absent=True)
     bench.worker.read_listing = lambda: result.Ok(absent)
     bench.start()
--- a/packages/side/portwharf/side/slowdowns_test.py
+++ b/packages/side/portwharf/side/slowdowns_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An attempt that worked at a share has lines that say for how long."""
+"""The time that attempts lose to throttling is logged."""
 
 from portwharf.core import data
 from portwharf.peers import messages
@@ -16,35 +16,35 @@
     return workers.Attempt(*TASK, state, kind=data.Kind.BATCH)
 
 
-def play(log, *rows):
-    """Have an attempt work at shares, as (time, percent)."""
+def run_at_shares(log, *rows):
+    """Run an attempt at CPU shares, given as (time, percent)."""
     for now, percent in rows:
         paced = [messages.PacedTask(*TASK, percent, 0)]
         log.update([make_attempt()], paced, now)
 
 
-def read(watched):
-    """Return (ran_ms, paced_ms) of each line."""
-    return [(one.ran_ms, one.paced_ms) for one in watched.records]
+def read_losses(logged):
+    """Return (ran_ms, paced_ms) of each log line."""
+    return [(one.ran_ms, one.paced_ms) for one in logged.records]
 
 
-def test_end_tells_what_was_lost(case):
+def test_loss_is_logged_at_the_end(case):
     log = slowdowns.SlowdownLog()
-    with case.assertLogs(LOGGER) as watched:
-        play(log, (0, 50), (1, 0), (2, 100))
+    with case.assertLogs(LOGGER) as logged:
+        run_at_shares(log, (0, 50), (1, 0), (2, 100))
         done = make_attempt(data.RunState.SUCCEEDED)
         log.update([done], [], 4)
-    case.assertEqual(read(watched), [(4000, 1500)])
+    case.assertEqual(read_losses(logged), [(4000, 1500)])
 
 
-def test_one_that_goes_on_is_told_of_now_and_then(case):
+def test_running_attempt_is_logged_repeatedly(case):
     log = slowdowns.SlowdownLog()
-    with case.assertLogs(LOGGER) as watched:
-        play(log, *((second, 0) for second in range(10)))
-    case.assertEqual(read(watched), [(4000, 4000), (8000, 8000)])
+    with case.assertLogs(LOGGER) as logged:
+        run_at_shares(log, *((second, 0) for second in range(10)))
+    case.assertEqual(read_losses(logged), [(4000, 4000), (8000, 8000)])
 
 
-def test_work_at_full_pace_is_not_told(case):
+def test_unthrottled_attempt_is_not_logged(case):
     log = slowdowns.SlowdownLog()
     with case.assertNoLogs(LOGGER):
         log.update([make_attempt()], [], 0)
--- a/packages/side/portwharf/side/traits_test.py
+++ b/packages/side/portwharf/side/traits_test.py
@@ -1,23 +1,22 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A restarted side knows what it is that runs beside it.
+"""A restarted side knows the tasks that already run on its VM.
 
-What users saw: after the process of one side had been killed and started
-again, urgent tasks on its VM stayed over their target for 4 s and more,
-and later work that could wait, placed beside them, ran at full speed.
+Failure: after the process of one side had been killed and restarted, urgent
+tasks on its VM stayed over their target for 4 s and more, and deferrable work
+that was placed beside them later ran at full speed.
 
-Order of events: tasks that serve run on a VM; its side's process ends and
-begins anew, while they go on; filling tasks are placed there and press on
-them; no order to pace is given.
+Sequence: serving tasks run on a VM; its side process restarts while they go
+on; filling tasks are placed there and interfere with them; the side sends no
+throttle command.
 
-Cause: a side learnt that a task serves, or fills, only from the order that
-began it, and forgot it with its process. To a restarted side all that ran
-before was nothing in particular: it had no target to look at, and did not
-know of shares that its predecessor had set.
+Cause: a side learnt that a task serves or fills only from the command that
+started it, and lost this at a restart. It then knew no target of the earlier
+tasks, nor the shares that the previous process had set.
 
-Evidence: of eleven sides only the one that had restarted had such tasks;
-its log had six running tasks that it was not told of, and no line of a
-target missed, while all others that missed one had paced within 2.1 s.
+Evidence: of eleven sides only the restarted one had such tasks. Its log showed
+six running tasks that it did not know, and no missed target, while all other
+sides that missed one had throttled within 2.1 s.
 """
 
 from portwharf.core import data
@@ -30,8 +29,8 @@
 
 def make_cluster():
     """Return a cluster with a serving task on each VM."""
-    made = cluster.Cluster(3)
-    made.submit(
+    deployment = cluster.Cluster(3)
+    deployment.submit(
         3,
         kind=data.Kind.STANDING,
         resources=SIZE,
@@ -39,25 +38,27 @@
         target_ms=TARGET_MS,
         most_per_vm=1,
     )
-    made.run(4)
-    return made
+    deployment.run(4)
+    return deployment
 
 
-def fill(made):
+def fill(deployment):
     """Place a filling task beside each serving one."""
-    made.submit(3, resources=SIZE, program='plan', fills=True, most_per_vm=1)
-    made.run(2)
+    deployment.submit(
+        3, resources=SIZE, program='plan', fills=True, most_per_vm=1
+    )
+    deployment.run(2)
 
 
-def set_tails(made, tail_ms):
-    """Have all serving tasks be listed with a tail."""
-    for node in made.nodes:
+def set_tails(deployment, tail_ms):
+    """Set the tail latency of all serving tasks."""
+    for node in deployment.nodes:
         for run in node.worker.runs:
             node.worker.tails[run.attempt.task] = tail_ms
 
 
 def find_pace(node):
-    """Return the share that the filling task of a node works at."""
+    """Return the share of the filling task on a node, in percent."""
     (pace,) = [
         node.worker.paces.get((run.attempt.task, run.attempt.attempt), 100)
         for run in node.worker.runs
@@ -72,51 +73,51 @@
 
 
 def test_restarted_side_paces_beside_servers_begun_before(case):
-    made = make_cluster()
-    node = made.nodes[2]
-    made.restart_side(node)
-    made.run(4)
-    set_tails(made, TARGET_MS + 10)
-    fill(made)
-    made.run(4)
-    case.assertLessEqual(find_pace(made.nodes[1]), pacing.LEAST)
+    deployment = make_cluster()
+    node = deployment.nodes[2]
+    deployment.restart_side(node)
+    deployment.run(4)
+    set_tails(deployment, TARGET_MS + 10)
+    fill(deployment)
+    deployment.run(4)
+    case.assertLessEqual(find_pace(deployment.nodes[1]), pacing.LEAST)
     case.assertLessEqual(find_pace(node), pacing.LEAST)
 
 
 def test_restarted_side_takes_back_a_pace_set_before(case):
-    made = make_cluster()
-    node = made.nodes[2]
-    fill(made)
-    set_tails(made, TARGET_MS + 10)
-    made.run(4)
-    made.restart_side(node)
-    set_tails(made, 1)
-    made.run(8)
-    case.assertEqual(find_pace(made.nodes[1]), pacing.FULL)
+    deployment = make_cluster()
+    node = deployment.nodes[2]
+    fill(deployment)
+    set_tails(deployment, TARGET_MS + 10)
+    deployment.run(4)
+    deployment.restart_side(node)
+    set_tails(deployment, 1)
+    deployment.run(8)
+    case.assertEqual(find_pace(deployment.nodes[1]), pacing.FULL)
     case.assertEqual(find_pace(node), pacing.FULL)
 
 
-def test_restarted_side_knows_what_was_begun_in_an_outage(case):
-    """What was committed ahead and begun while the store was down is told.
+def test_restarted_side_knows_tasks_started_in_a_store_outage(case):
+    """A task that was started during a store outage is described as well.
 
-    Order of events: the store is down, an append is stalled, and the owner
-    begins a prepared task; its VM's side restarts; the store comes back and
-    the attempt is logged as placed.
+    Sequence: the store is down, an append is stalled, and the owner starts a
+    prepared task; the VM's side restarts; the store returns and the attempt is
+    logged as placed.
     """
-    made = cluster.Cluster(3)
-    made.submit(10)
-    made.run(4)
-    made.standin.faults.down = True
-    made.submit(1)
-    made.run(2)
-    made.finish_running()
-    made.run(5)
-    node = made.nodes[1]
+    deployment = cluster.Cluster(3)
+    deployment.submit(10)
+    deployment.run(4)
+    deployment.standin.faults.down = True
+    deployment.submit(1)
+    deployment.run(2)
+    deployment.finish_running()
+    deployment.run(5)
+    node = deployment.nodes[1]
     running = [run.attempt for run in node.worker.runs if run.running]
     case.assertTrue(running)
-    made.restart_side(node)
-    made.standin.faults.down = False
-    made.run(4)
+    deployment.restart_side(node)
+    deployment.standin.faults.down = False
+    deployment.run(4)
     case.assertFalse(node.server.agent._pacer.has_unknown_attempts)
     known = node.server.agent._pacer._traits
     known.set_running(running)
--- a/packages/side/portwharf/side/unknown_sizes_test.py
+++ b/packages/side/portwharf/side/unknown_sizes_test.py
@@ -1,11 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side does not know the size of is not taken for nothing.
+"""Attempts of unknown size do not count as free capacity.
 
-The platform's runner lists an attempt without its size, and may not guard
-its own capacity. A side gets the sizes with its orders, and after a restart
-from the owner: of what the VM holds by the log. An attempt that the log has
-given up is in neither, but runs on until its stop has taken effect.
+The platform's runner lists an attempt without its size, and may not guard its
+own capacity. A side gets the sizes with the commands that it carries out and,
+after a restart, from the owner, for the tasks that the VM holds according to
+the log. An attempt that the log has given up is in neither, but runs on until
+its stop takes effect.
 """
 
 import result
@@ -14,8 +15,8 @@
 from portwharf.testing import cluster
 
 
-def make_forgetful(node):
-    """Have a node's worker list sizes of what this life was told of."""
+def hide_unknown_sizes(node):
+    """Have a worker list only the sizes that its current side sent."""
     worker = node.worker
     known = set()
     read, begin = worker.read_listing, worker.start
@@ -40,18 +41,18 @@
     return known
 
 
-def test_room_of_what_the_log_gave_up_is_not_given_twice(case):
-    """No VM holds more than it can while a given-up attempt is stopped.
+def test_capacity_of_a_given_up_attempt_is_not_assigned_twice(case):
+    """A VM is not overcommitted while a given-up attempt is stopping.
 
-    Order of events: a VM's side is away for longer than ``unreachable``;
-    its tasks, which are not exclusive, are given up; a new process begins
-    there, and what waits is placed before the stops have taken effect.
+    Sequence: a VM's side is silent for longer than ``unreachable``; its tasks,
+    which are not exclusive, are given up; a new side process starts there, and
+    waiting tasks are placed before the stops take effect.
     """
-    made = cluster.Cluster(3)
-    made.submit(6, overlap_allowed=True)
-    made.run(4)
-    node = made.nodes[2]
-    known = make_forgetful(node)
+    deployment = cluster.Cluster(3)
+    deployment.submit(6, overlap_allowed=True)
+    deployment.run(4)
+    node = deployment.nodes[2]
+    known = hide_unknown_sizes(node)
     stop, wanted = node.worker.stop, []
 
     def hold_back(*order):
@@ -60,14 +61,14 @@
 
     node.worker.stop = hold_back
     node.paused = True
-    made.break_pipes(node)
-    made.submit(2, overlap_allowed=True, importance=100)
-    made.run(cluster.LIMITS.unreachable + 2)
+    deployment.break_pipes(node)
+    deployment.submit(2, overlap_allowed=True, importance=100)
+    deployment.run(cluster.LIMITS.unreachable + 2)
     known.clear()
     node.paused = False
-    made.restart_side(node)
-    made.run(4)
+    deployment.restart_side(node)
+    deployment.run(4)
     case.assertTrue(wanted)
     node.worker.stop = stop
-    made.settle()
-    made.check_end()
+    deployment.settle()
+    deployment.check_end()
