--- a/packages/side/portwharf/side/agent.py
+++ b/packages/side/portwharf/side/agent.py
@@ -242,7 +242,7 @@
             self._pace_controller.throttle(message)
 
     def _reset_for_owner(self):
-        """Prepare for a new owner connection: everything is reported anew."""
+        """Prepare for a new owner connection; a full report is due."""
         self._reported_states = {}
         self._full_report_due = True
         self._pacer.record_new_owner()
--- a/packages/side/portwharf/side/at_most_once.py
+++ b/packages/side/portwharf/side/at_most_once.py
@@ -11,8 +11,8 @@
 answered "unknown".
 
 An id contains the time at which it was made. That time is trusted within
-``SKEW_MS``: ids from further ahead are refused, so that no earlier home can
-have run an id that appears newer than the roster.
+``MAX_SKEW_MS``: ids from further ahead are refused, so that no earlier home
+can have run an id that appears newer than the roster.
 """
 
 import collections
--- a/packages/side/portwharf/side/losses_test.py
+++ b/packages/side/portwharf/side/losses_test.py
@@ -186,7 +186,7 @@
     case.assertEqual(len(calls), 1)
 
 
-def test_start_without_an_answer_takes_its_room(case):
+def test_unconfirmed_start_counts_as_used_capacity(case):
     """The attempt may run, so its resources count as used."""
     bench = agent_bench.Bench()
     bench.grant()
--- a/packages/side/portwharf/side/pacing.py
+++ b/packages/side/portwharf/side/pacing.py
@@ -150,18 +150,20 @@
         serving = [a for a in targeted if a.tail_ms > 0]
         unmeasured = [a for a in targeted if not a.tail_ms]
         self._progress = {(a.task, a.attempt): a.percent for a in filling}
-        cores = max(1, listing.capacity.cpu_milli)
-        self._observe(serving, filling, cores, now)
+        capacity_milli = max(1, listing.capacity.cpu_milli)
+        self._observe(serving, filling, capacity_milli, now)
         self._pull_brake(serving, bool(filling), now)
         self._log_state(serving, filling, now)
-        used = self._sum_used(filling, cores)
+        used = self._sum_used(filling, capacity_milli)
         headrooms = self._compute_headrooms(serving, used)
         for one in unmeasured:
             image = self._traits.find(one).image
             headroom = headrooms.get(image, presses.FRESH_ROOM)
             headrooms[image] = min(presses.FRESH_ROOM, headroom)
         self._record_headrooms(serving)
-        wanted = self._assign_shares(filling, headrooms, cores, now_ms)
+        wanted = self._assign_shares(
+            filling, headrooms, capacity_milli, now_ms
+        )
         if self._stands_still(now):
             wanted = dict.fromkeys(wanted, 0)
         return self._list_changes(filling, wanted)
@@ -183,12 +185,12 @@
         """Record that the share of an attempt is unknown."""
         self._sent[(pace.task, pace.attempt)] = None
 
-    def _sum_used(self, filling, cores):
+    def _sum_used(self, filling, capacity_milli):
         """Return the share of the VM's CPU that each filling image uses."""
         used = collections.defaultdict(float)
         for one in filling:
             image = self._traits.find(one).image
-            used[image] += one.used_cpu_milli / cores
+            used[image] += one.used_cpu_milli / capacity_milli
         return used
 
     def take_observed(self):
@@ -207,12 +209,12 @@
             if percent is not None and percent < FULL
         ]
 
-    def _observe(self, serving, filling, cores, now):
+    def _observe(self, serving, filling, capacity_milli, now):
         """Record what changed since the last sample, for the owner."""
         previous = self._sample
         if previous is not None and now - previous.at < SAMPLE_SECONDS:
             return
-        sample = _Sample(now, {}, self._sum_used(filling, cores))
+        sample = _Sample(now, {}, self._sum_used(filling, capacity_milli))
         for one in serving:
             name = (one.task, one.attempt)
             sample.tails[name] = math.log(one.tail_ms)
@@ -292,7 +294,7 @@
             for image, headroom in left.items()
         ]
 
-    def _assign_shares(self, filling, headrooms, cores, now_ms):
+    def _assign_shares(self, filling, headrooms, capacity_milli, now_ms):
         """Assign a share to each filling task, by precedence.
 
         :param headrooms: headroom by serving image
@@ -307,13 +309,13 @@
             share = 1.0
             for image, headroom in left.items():
                 press = self.presses.find_cautious(image, trait.image)
-                cost = press * trait.fill_milli / cores
+                cost = press * trait.fill_milli / capacity_milli
                 if cost > 0:
                     share = min(share, headroom / cost)
             share = max(LEAST / FULL, share)
             for image in left:
                 press = self.presses.find_cautious(image, trait.image)
-                cost = press * trait.fill_milli / cores
+                cost = press * trait.fill_milli / capacity_milli
                 left[image] = max(0.0, left[image] - cost * share)
             percent = int(FULL * share * self._throttle_factor)
             wanted[(one.task, one.attempt)] = max(LEAST, percent)
--- a/packages/side/portwharf/side/runtimes_test.py
+++ b/packages/side/portwharf/side/runtimes_test.py
@@ -17,21 +17,21 @@
     return workers.Attempt(**{**values, **fields})
 
 
-def begin(estimator, now=0.0, checkpoint=''):
+def start_task(estimator, now=0.0, checkpoint=''):
     """Record a start."""
     start = workers.Start(TASK, 1, checkpoint=checkpoint)
     start.kind = data.Kind.BATCH
     estimator.record_start(start, now)
 
 
-def paced(percent):
+def make_paced(percent):
     """Return the shares of a task that is throttled."""
     return [messages.PacedTask(TASK, 1, percent)]
 
 
 def test_run_time_is_extrapolated_from_a_third(case):
     estimator = runtimes.RuntimeEstimator()
-    begin(estimator)
+    start_task(estimator)
     estimator.update([make_attempt(20)], [], 0.5)
     case.assertEqual(estimator.take_estimates(), [])
     estimator.update([make_attempt(40)], [], 1.0)
@@ -44,7 +44,7 @@
 
 def test_short_task_is_measured_at_its_end(case):
     estimator = runtimes.RuntimeEstimator()
-    begin(estimator)
+    start_task(estimator)
     done = make_attempt(0, state=data.RunState.SUCCEEDED)
     estimator.update([done], [], 0.7)
     case.assertEqual(
@@ -54,9 +54,9 @@
 
 def test_time_at_half_share_counts_half(case):
     estimator = runtimes.RuntimeEstimator()
-    begin(estimator)
-    estimator.update([make_attempt(10)], paced(50), 0.4)
-    estimator.update([make_attempt(20)], paced(50), 1.2)
+    start_task(estimator)
+    estimator.update([make_attempt(10)], make_paced(50), 0.4)
+    estimator.update([make_attempt(20)], make_paced(50), 1.2)
     estimator.update([make_attempt(50)], [], 3.6)
     case.assertEqual(
         estimator.take_estimates(), [messages.RunMeasure(TASK, 4000)]
@@ -65,15 +65,15 @@
 
 def test_task_at_a_tiny_share_is_not_measured(case):
     estimator = runtimes.RuntimeEstimator()
-    begin(estimator)
-    estimator.update([make_attempt(10)], paced(3), 0.4)
+    start_task(estimator)
+    estimator.update([make_attempt(10)], make_paced(3), 0.4)
     estimator.update([make_attempt(80)], [], 9.0)
     case.assertEqual(estimator.take_estimates(), [])
 
 
 def test_resumed_task_is_measured_from_its_first_progress(case):
     estimator = runtimes.RuntimeEstimator()
-    begin(estimator, checkpoint='saved')
+    start_task(estimator, checkpoint='saved')
     estimator.update([make_attempt(0)], [], 0.4)
     estimator.update([make_attempt(50)], [], 1.0)
     estimator.update([make_attempt(90)], [], 2.0)
@@ -92,7 +92,7 @@
 
 def test_failed_task_is_not_measured(case):
     estimator = runtimes.RuntimeEstimator()
-    begin(estimator)
+    start_task(estimator)
     failed = make_attempt(100, state=data.RunState.FAILED)
     estimator.update([failed], [], 0.7)
     case.assertEqual(estimator.take_estimates(), [])
--- a/packages/side/portwharf/side/server.py
+++ b/packages/side/portwharf/side/server.py
@@ -24,7 +24,7 @@
 
 _STATE_INTERVAL_SECONDS = 1.0
 _OPERATION_THREADS = 8
-# Requests with larger payloads are refused unread.
+# Larger payloads are refused before they are received.
 MAX_PAYLOAD_BYTES = 16 * 1024 * 1024
 _COMMANDS = (
     messages.StartTask,
--- a/packages/side/portwharf/side/traits_test.py
+++ b/packages/side/portwharf/side/traits_test.py
@@ -42,7 +42,7 @@
     return deployment
 
 
-def fill(deployment):
+def place_filling_tasks(deployment):
     """Place a filling task beside each serving one."""
     deployment.submit(
         3, resources=SIZE, program='plan', fills=True, most_per_vm=1
@@ -57,14 +57,14 @@
             node.worker.tails[run.attempt.task] = tail_ms
 
 
-def find_pace(node):
+def find_share(node):
     """Return the share of the filling task on a node, in percent."""
-    (pace,) = [
+    (share,) = [
         node.worker.paces.get((run.attempt.task, run.attempt.attempt), 100)
         for run in node.worker.runs
         if run.attempt.task.startswith(find_filling(node))
     ]
-    return pace
+    return share
 
 
 def find_filling(node):
@@ -78,23 +78,23 @@
     deployment.restart_side(node)
     deployment.run(4)
     set_tails(deployment, TARGET_MS + 10)
-    fill(deployment)
+    place_filling_tasks(deployment)
     deployment.run(4)
-    case.assertLessEqual(find_pace(deployment.nodes[1]), pacing.LEAST)
-    case.assertLessEqual(find_pace(node), pacing.LEAST)
+    case.assertLessEqual(find_share(deployment.nodes[1]), pacing.LEAST)
+    case.assertLessEqual(find_share(node), pacing.LEAST)
 
 
 def test_restarted_side_takes_back_a_pace_set_before(case):
     deployment = make_cluster()
     node = deployment.nodes[2]
-    fill(deployment)
+    place_filling_tasks(deployment)
     set_tails(deployment, TARGET_MS + 10)
     deployment.run(4)
     deployment.restart_side(node)
     set_tails(deployment, 1)
     deployment.run(8)
-    case.assertEqual(find_pace(deployment.nodes[1]), pacing.FULL)
-    case.assertEqual(find_pace(node), pacing.FULL)
+    case.assertEqual(find_share(deployment.nodes[1]), pacing.FULL)
+    case.assertEqual(find_share(node), pacing.FULL)
 
 
 def test_restarted_side_knows_tasks_started_in_a_store_outage(case):
