--- a/packages/core/portwharf/core/__init__.py
+++ b/packages/core/portwharf/core/__init__.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What every package of portwharf uses: data, ids, settings, logs, pages."""
+"""Shared foundations: data types, ids, settings, logging and HTTP serving."""
 
 from portwharf.core import clock
 from portwharf.core import codec
--- a/packages/core/portwharf/core/clock.py
+++ b/packages/core/portwharf/core/clock.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Clocks as values, so that tests decide what time it is.
+"""Injectable clocks, so that tests control the time.
 
-Limits and leases are measured on the monotonic clock only. Wall time is
-for people, for ids and for the ages of resubmitted requests.
+Timeouts and leases use the monotonic clock only. Wall-clock time is used
+for display, for ids and for the ages of resubmitted requests.
 """
 
 import abc
@@ -11,23 +11,23 @@
 
 
 class Clock(abc.ABC):
-    """A source of time."""
+    """A source of monotonic and wall-clock time."""
 
     @abc.abstractmethod
     def read_monotonic(self):
-        """Return seconds on a clock that never goes back."""
+        """Return the time in seconds on a clock that never goes back."""
 
     @abc.abstractmethod
     def read_unix_ms(self):
-        """Return milliseconds since 1970 (UTC)."""
+        """Return the wall-clock time in milliseconds since 1970 (UTC)."""
 
 
 class SystemClock(Clock):
-    """The clock of the machine.
+    """The system clock, including time spent in suspension.
 
-    What was agreed with others runs out while this machine is suspended, so
-    that its time counts: the steady clock stands still meanwhile, and a
-    process that went by it would wake with grants that it takes for fresh.
+    Leases and grants expire for other processes while this machine is
+    suspended. ``CLOCK_MONOTONIC`` stops during suspension, so a process
+    that used it would resume with expired grants that it considers valid.
     """
 
     def read_monotonic(self):
@@ -37,26 +37,29 @@
         return time.time_ns() // 1_000_000
 
 
-class SuspensionWatch:
-    """Tells for how long the machine was suspended, for the logs."""
+class SuspensionMonitor:
+    """Measures how long the machine was suspended, for the logs."""
 
     def __init__(self):
-        self._behind = _measure_behind()
+        self._total_seconds = _read_suspended_seconds()
 
-    def take_seconds(self):
-        """Return for how long it was suspended since the last call."""
-        before, self._behind = self._behind, _measure_behind()
-        return self._behind - before
+    def take_suspended_seconds(self):
+        """Return the seconds of suspension since the previous call."""
+        before, self._total_seconds = (
+            self._total_seconds,
+            _read_suspended_seconds(),
+        )
+        return self._total_seconds - before
 
 
-def _measure_behind():
-    """Return by how many seconds the steady clock is behind."""
-    steady = time.clock_gettime(time.CLOCK_MONOTONIC)
-    return time.clock_gettime(time.CLOCK_BOOTTIME) - steady
+def _read_suspended_seconds():
+    """Return the seconds that the machine was suspended since boot."""
+    monotonic = time.clock_gettime(time.CLOCK_MONOTONIC)
+    return time.clock_gettime(time.CLOCK_BOOTTIME) - monotonic
 
 
 class ManualClock(Clock):
-    """A clock that stands still until it is moved; for tests."""
+    """A clock that moves only when :meth:`advance` is called, for tests."""
 
     def __init__(self, start=1000.0):
         self._now = start
@@ -68,5 +71,5 @@
         return int(self._now * 1000)
 
     def advance(self, seconds):
-        """Move the clock forward."""
+        """Move the clock forward by a number of seconds."""
         self._now += seconds
--- a/packages/core/portwharf/core/codec.py
+++ b/packages/core/portwharf/core/codec.py
@@ -1,12 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Turn slotted data classes into plain maps and back.
+"""Serialization of data classes to plain maps and to ``msgpack``.
 
-Made for ``msgpack``, which carries maps, lists, numbers, text and bytes.
-A field that the reader does not know is dropped and a field that the
-writer did not send keeps its default, so that processes of neighbouring
-versions understand each other. Fields that still have their default value
-are not written at all; most messages have many of those.
+The maps contain only types that ``msgpack`` supports: maps, lists, numbers,
+text and bytes. Unknown fields are ignored and missing fields keep their
+defaults, so that processes of adjacent versions can communicate. Fields
+that have their default value are omitted to keep messages small.
 """
 
 import dataclasses
@@ -17,14 +16,18 @@
 
 from portwharf.core import data
 
-# No value of ours nests deeper than a message holding a task holding a
-# workload; this bounds what a garbled frame can make the reader build.
-MAX_ITEMS = 100_000
+# Bounds the objects that a corrupt message can make the reader create.
+MAX_LIST_ITEMS = 100_000
 
 
 @dataclasses.dataclass(slots=True)
-class _Field:
-    """How one field of a class is written and read."""
+class _FieldCodec:
+    """How one field is serialized.
+
+    :param default: the value that is omitted from the map
+    :param read: converts from a map's value, or None to take it as it is
+    :param write: converts to a map's value, or None to take it as it is
+    """
 
     name: str
     default: object
@@ -33,7 +36,7 @@
 
 
 def to_map(value):
-    """Return a data class instance as a map of plain values."""
+    """Return a data class instance as a map, without default values."""
     out = {}
     for field in _compile_fields(type(value)):
         item = getattr(value, field.name)
@@ -46,11 +49,11 @@
 def from_map(cls, source):
     """Return an instance of ``cls`` read from a map.
 
-    :raises TypeError: ``source`` is not a map
-    :raises ValueError: a nested value has the wrong shape
+    :raises TypeError: ``source`` or a nested value is not a map
+    :raises ValueError: a field's value is not of the declared type
     """
     if not isinstance(source, dict):
-        raise TypeError(f'{cls.__name__} is read from a map')
+        raise TypeError(f'a map is required for {cls.__name__}')
     values = {}
     for field in _compile_fields(cls):
         if field.name not in source:
@@ -68,7 +71,7 @@
 def unpack(cls, raw):
     """Return an instance of ``cls`` read from msgpack bytes.
 
-    :raises ValueError: the bytes are not such a value
+    :raises ValueError: the bytes do not encode an instance of ``cls``
     """
     try:
         return from_map(cls, msgpack.unpackb(raw))
@@ -78,7 +81,7 @@
 
 @functools.cache
 def _compile_fields(cls):
-    """Work out once for each class how its fields are carried."""
+    """Return the field codecs of a class, computed once for each class."""
     hints = typing.get_type_hints(cls)
     return [
         _compile_field(field, hints[field.name])
@@ -93,33 +96,40 @@
     origin = typing.get_origin(hint)
     if dataclasses.is_dataclass(hint):
         read = functools.partial(from_map, hint)
-        return _Field(field.name, default, read, to_map)
+        return _FieldCodec(field.name, default, read, to_map)
     if origin is list:
-        (item,) = typing.get_args(hint)
-        if dataclasses.is_dataclass(item):
-            return _Field(
+        (item_type,) = typing.get_args(hint)
+        if dataclasses.is_dataclass(item_type):
+            return _FieldCodec(
                 field.name,
                 default,
-                functools.partial(_read_list, item),
+                functools.partial(_read_list, item_type),
                 _write_list,
             )
-        return _Field(field.name, default, list, list)
-    return _Field(field.name, default, functools.partial(_check, hint), None)
+        return _FieldCodec(field.name, default, list, list)
+    return _FieldCodec(
+        field.name, default, functools.partial(_check_type, hint), None
+    )
+
 
+def _check_type(hint, item):
+    """Return a plain value of the declared type.
 
-def _check(hint, item):
-    """Return a plain value of the declared type, or complain."""
-    kind = hint if isinstance(hint, type) else object
-    if kind is float and isinstance(item, int):
+    Whole numbers are accepted for ``float`` fields.
+
+    :raises ValueError: the value is of another type
+    """
+    expected = hint if isinstance(hint, type) else object
+    if expected is float and isinstance(item, int):
         return float(item)
-    if not isinstance(item, kind):
-        raise ValueError(f'{item!r} is not of type {kind.__name__}')
+    if not isinstance(item, expected):
+        raise ValueError(f'{item!r} is not of type {expected.__name__}')
     return item
 
 
 def _read_list(cls, items):
-    if not isinstance(items, list) or len(items) > MAX_ITEMS:
-        raise ValueError(f'a list of {cls.__name__} is expected')
+    if not isinstance(items, list) or len(items) > MAX_LIST_ITEMS:
+        raise ValueError(f'not a list of {cls.__name__}, or too long')
     return [from_map(cls, item) for item in items]
 
 
@@ -127,6 +137,6 @@
     return [to_map(item) for item in items]
 
 
-# The types of the data module are used in nearly every message.
+# Compiled on import, as nearly every message uses these types.
 for _cls in (data.Resources, data.Workload, data.Vm, data.Problem):
     _compile_fields(_cls)
--- a/packages/core/portwharf/core/codec_test.py
+++ b/packages/core/portwharf/core/codec_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What is packed comes back; neighbouring versions understand it."""
+"""Values survive a round trip, also between adjacent versions."""
 
 import dataclasses
 
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Newer:
-    """A later version of ``data.Problem``."""
+    """A later version of ``data.Problem``, with other fields."""
 
     code: str = ''
     field: str = ''
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Tree:
-    """A value with a list of values."""
+    """A value that contains lists."""
 
     name: str = ''
     vms: list[data.Vm] = dataclasses.field(default_factory=list)
     words: list[str] = dataclasses.field(default_factory=list)
 
 
-def test_any_workload_comes_back(case):
+def test_any_workload_survives_a_round_trip(case):
     @hypothesis.settings(derandomize=True, database=None)
     @hypothesis.given(WORKLOADS)
     def check(workload):
@@ -56,7 +56,7 @@
     check()
 
 
-def test_lists_come_back(case):
+def test_lists_survive_a_round_trip(case):
     tree = Tree('x', [data.Vm('a'), data.Vm('b', port=5)], ['one'])
     case.assertEqual(codec.unpack(Tree, codec.pack(tree)), tree)
 
@@ -89,7 +89,7 @@
             codec.unpack(data.Workload, msgpack.packb(value))
 
 
-def test_any_bytes_are_a_value_or_refused(case):
+def test_any_bytes_are_decoded_or_refused(case):
     @hypothesis.settings(derandomize=True, database=None)
     @hypothesis.given(strategies.binary(max_size=64))
     def check(raw):
--- a/packages/core/portwharf/core/data.py
+++ b/packages/core/portwharf/core/data.py
@@ -1,11 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The few data types that every package uses.
+"""Data types that all packages share.
 
-They hold values and do next to nothing. Types that travel between
-processes or into the store live here or beside the module that owns them,
-and all are turned into plain maps by :mod:`portwharf.core.codec`, which
-skips fields that it does not know, so that versions can mix.
+Types that are sent between processes or stored are defined here or in the
+module that owns them. :mod:`portwharf.core.codec` serializes them by field
+name and ignores unknown fields, so that versions can be mixed.
 """
 
 import dataclasses
@@ -13,7 +12,7 @@
 
 
 class Kind(enum.IntEnum):
-    """How long a workload's tasks live; numbers as in the schema."""
+    """The kind of a workload; numbers as in the schema."""
 
     SERVICE = 1
     BATCH = 2
@@ -21,10 +20,10 @@
 
 
 class TaskState(enum.StrEnum):
-    """Where a task stands, by the shard log."""
+    """The state of a task in the shard log."""
 
     WAITING = 'waiting'
-    # Belongs to a VM that has no room for it yet.
+    # Assigned to a VM that does not have the resources for it yet.
     PREPARED = 'prepared'
     PLACED = 'placed'
     EVICTING = 'evicting'
@@ -40,21 +39,21 @@
 
 
 class RunState(enum.StrEnum):
-    """What has become of one attempt, by the worker that runs it."""
+    """The state of one attempt, as its worker reports it."""
 
     RUNNING = 'running'
     SUCCEEDED = 'succeeded'
     FAILED = 'failed'
-    # Stopped on request; ``checkpoint`` tells where to resume.
+    # Stopped on request; ``checkpoint`` is where to resume.
     CHECKPOINTED = 'checkpointed'
-    # The worker or its side would not start it: it has not run.
+    # Refused by the worker or its side; it has not run.
     REFUSED = 'refused'
-    # Stopped on request without a checkpoint, or never heard of.
+    # Stopped on request without a checkpoint, or not known to the worker.
     GONE = 'gone'
 
 
 class Outcome(enum.IntEnum):
-    """What became of a caller's request; numbers as in the schema."""
+    """The outcome of a caller's request; numbers as in the schema."""
 
     ANSWERED = 1
     NOT_RUN = 2
@@ -63,14 +62,14 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform's VM list says of a VM."""
+    """The state of a VM in the platform's VM list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class Role(enum.StrEnum):
-    """What a VM is for."""
+    """The role of a VM."""
 
     ENTRY = 'entry'
     ENDPOINT = 'endpoint'
@@ -78,15 +77,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LifeId:
-    """Which life of a worker: one start of its process.
+    """Identifies one incarnation of a worker: a single start of its process.
 
-    A worker may begin again under the id that it had, holding and knowing
-    nothing of before. Whatever one life counts or knows is its own, so that
-    nothing is kept by ``instance`` alone. Which of two lives is the later
-    one cannot be told from their births: the time of day may jump.
+    A worker may restart under the same instance id without any state of
+    the previous incarnation. Sequence numbers and attempts belong to one
+    incarnation, so nothing may be keyed by ``instance`` alone. Start times
+    do not order incarnations, because the wall clock may be set back.
 
     :param instance: the id that it is addressed by; '' if it is not known
-    :param born_ms: when it began, in Unix ms; 0 if it does not say
+    :param born_ms: when it started, in Unix ms; 0 if it is not reported
     """
 
     instance: str = ''
@@ -94,15 +93,16 @@
 
     @property
     def name(self):
-        """The life in one word, for logs; '' if it is not known."""
+        """The incarnation as text, for logs; '' if it is not known."""
         return f'{self.instance}@{self.born_ms}' if self.instance else ''
 
 
 @dataclasses.dataclass(slots=True)
 class Resources:
-    """An amount of what a VM can hold.
+    """An amount of compute resources.
 
-    Processors in thousandths, memory in MB (2^20 bytes).
+    :param cpu_milli: processors, in thousandths
+    :param memory_mb: memory, in MB (2^20 bytes)
     """
 
     cpu_milli: int = 0
@@ -118,7 +118,7 @@
         )
 
     def subtract(self, other):
-        """Return what is left of this amount after taking another."""
+        """Return this amount minus another; values may be negative."""
         return Resources(
             self.cpu_milli - other.cpu_milli,
             self.memory_mb - other.memory_mb,
@@ -126,46 +126,48 @@
         )
 
     def cover(self, other):
-        """Return the larger of this amount and another, on each axis."""
+        """Return the maximum of this amount and another in each dimension."""
         return Resources(
             max(self.cpu_milli, other.cpu_milli),
             max(self.memory_mb, other.memory_mb),
             max(self.accelerators, other.accelerators),
         )
 
-    def fits(self, room):
-        """Tell whether this amount fits into ``room`` on every axis."""
+    def fits(self, available):
+        """Return whether this amount fits into ``available``."""
         return (
-            self.cpu_milli <= room.cpu_milli
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cpu_milli <= available.cpu_milli
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
 
 @dataclasses.dataclass(slots=True)
 class Workload:
-    """What an operator declared: a service, batch job or standing task.
+    """A declared workload: a service, batch job, standing task or job step.
 
-    Fields and units as in the schema's ``Workload``; a step of a job has
-    these besides:
+    Fields and units as in the schema's ``Workload``. Only steps of jobs use
+    these:
 
     :param job: the id of the job that it is a step of, or ''
     :param after: ids of the steps whose tasks must all have succeeded
     :param pool: the pool of workers that may run it, '' for any
-    :param label: what a worker must be labelled with, or ''
-    :param data_rack: the rack that its data are in, or ''
-    :param most_per_vm: tasks of it that one VM may hold, 0 for any number
-    :param gang: its tasks work only all together
-    :param same_rack: its tasks work best within one rack
-    :param image: what its tasks run; tasks of one image behave alike
-    :param target_ms: what the tail of its tasks' answers has to stay under
-    :param fills: its tasks use the processors that others leave unused
-    :param most_away: tasks that we may have away at a time, 0 for any
-    :param run_ms: a rough estimate of how long one task runs
-    :param max_failures: attempts that may fail before a task has failed,
-        0 for the usual number
-    :param ticket_ms: how long a ticket of the policy that governs its
-        queue is valid; 0 if there is no policy
+    :param label: a label that the worker must have, or ''
+    :param data_rack: the rack that stores its data, or ''
+    :param most_per_vm: the most tasks of it on one VM, 0 for no limit
+    :param gang: its tasks can run only all at the same time
+    :param same_rack: its tasks should be placed within one rack
+    :param image: the image that its tasks run; tasks of one image are
+        expected to behave alike
+    :param target_ms: upper bound for the tail latency of its tasks' answers
+    :param fills: its tasks use processor time that other tasks leave unused
+    :param most_away: the most tasks that may be evicted at a time, 0 for no
+        limit
+    :param run_ms: a rough estimate of the run time of one task
+    :param max_failures: failed attempts after which a task has failed,
+        0 for the default
+    :param ticket_ms: validity of a ticket of the policy that governs its
+        queue; 0 if there is no policy
     """
 
     name: str = ''
@@ -181,7 +183,7 @@
     urgent: bool = False
     program: str = ''
     argument: bytes = b''
-    # What follows is used by steps of jobs; see :class:`Job`.
+    # The fields below are used by steps of jobs; see :class:`Job`.
     job: str = ''
     after: list[str] = dataclasses.field(default_factory=list)
     pool: str = ''
@@ -200,10 +202,9 @@
 
     @property
     def reserved(self):
-        """What one task reserves on its VM.
+        """The resources that one task reserves on its VM.
 
-        A task that fills takes the processors that others leave unused,
-        so that it reserves none.
+        A workload with ``fills`` set reserves no processors.
         """
         if not self.fills:
             return self.resources
@@ -212,31 +213,32 @@
 
     @property
     def key(self):
-        """The key that makes a second submission the same workload."""
+        """The key by which a repeated submission is recognized."""
         return f'{self.team}/{self.name}'
 
     @property
     def exclusive(self):
-        """Whether a task of it must never run in two places at once."""
+        """Whether each task may run in only one place at a time."""
         return self.kind != Kind.SERVICE and not self.overlap_allowed
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A graph of steps that is accepted, cancelled and shown as one.
-
-    :param id: chosen by who submits it; a second submission is the same
-    :param queue: the queue that it came by
-    :param rank: the rank of its queue; 0 goes first
-    :param argument: what its tasks are given
-    :param steps: a Workload for each, with ``after`` naming their numbers
-    :param objective_ms: when it should have ended, from its acceptance
-    :param times: how often the steps are run; 0 for once, at once
-    :param first_ms: wall time at which the first time is due
-    :param interval_ms: between two times
-    :param stretch: the objective is this many times its longest chain of
-        work; 0 if only ``objective_ms``, by its estimates, is known
-    :param allowance_ms: and so much more
+    """A graph of steps that is accepted, cancelled and reported as a unit.
+
+    :param id: chosen by the submitter; submissions of one id are one job
+    :param queue: the queue that it was submitted to
+    :param rank: the rank of its queue; 0 has the highest precedence
+    :param argument: passed to its tasks
+    :param steps: a Workload for each step; ``after`` holds step numbers
+    :param objective_ms: completion objective, counted from acceptance
+    :param times: number of recurring runs; 0 for a single immediate run
+    :param first_ms: wall time at which the first recurring run is due
+    :param interval_ms: time between two recurring runs
+    :param stretch: factor that is applied to the length of the critical
+        path to get the objective; 0 if only ``objective_ms``, which is
+        derived from estimates, is known
+    :param allowance_ms: added to the objective that ``stretch`` gives
     """
 
     id: str = ''
@@ -253,7 +255,7 @@
 
 
 class JobState(enum.StrEnum):
-    """Where a job stands."""
+    """The state of a job."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -269,9 +271,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Vm:
-    """One VM as the platform's list or the settings describe it.
+    """One VM, from the platform's VM list or from the settings.
 
-    :param instance: in the register, differs for each start of the process
+    :param instance: unique for each start of the process, in the registry
+        only
     """
 
     name: str = ''
@@ -287,7 +290,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceRoster:
-    """The VMs that serve a service ("team/name"), in order."""
+    """The VMs that serve a service ("team/name"), in a fixed order."""
 
     service: str = ''
     members: list[str] = dataclasses.field(default_factory=list)
@@ -295,8 +298,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Roster:
-    """Which VMs serve which services, as all agree.
+    """The agreed assignment of VMs to services.
 
+    :param seq: increases with each change
     :param effective_ms: wall time since which it is in force, 0 for not yet
     """
 
@@ -307,11 +311,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Problem:
-    """One thing that is wrong, and what to do about it.
+    """One validation or request error and its remedy.
 
     :param code: a reason code, as in ``no-worker-fits``
-    :param field: the field at fault, dotted, or ''
-    :param value: the value at fault, as text
+    :param field: the dotted name of the invalid field, or ''
+    :param value: the invalid value as text, or ''
     :param text: what is wrong
     :param remedy: what the operator or caller can do
     """
@@ -323,7 +327,7 @@
     remedy: str = ''
 
     def describe(self):
-        """Return the problem as one line for people."""
+        """Return the problem as one line of readable text."""
         where = f'{self.field}: ' if self.field else ''
         value = f' (got {self.value})' if self.value else ''
         remedy = f'; {self.remedy}' if self.remedy else ''
--- a/packages/core/portwharf/core/ids.py
+++ b/packages/core/portwharf/core/ids.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Ids and rendezvous (highest random weight) choice.
+"""Ids, rendezvous hashing (highest random weight) and shard hashing.
 
-Workload and request ids are UUID version 7: they sort by the time they
-were made, and that time can be read back. A task's id is its workload's id
-and its number.
+Workload and request ids are UUID version 7: they sort by creation time, and
+that time can be read back. A task's id is its workload's id followed by
+the task's number.
 """
 
 import uuid
@@ -14,7 +14,7 @@
 
 TASK_SEPARATOR = '.'
 _VERSION_7 = 7
-_TIME_SHIFT = 80
+_TIMESTAMP_SHIFT_BITS = 80
 
 
 def make_id():
@@ -23,43 +23,51 @@
 
 
 def make_nonce():
-    """Return 16 random bytes as text, to tell one's own append."""
+    """Return 16 random bytes as text, to recognize one's own write."""
     return uuid.uuid4().hex
 
 
 def make_task_id(workload_id, number):
-    """Return the id of a workload's task by its number, from 0."""
+    """Return the id of a workload's task; tasks are numbered from 0."""
     return f'{workload_id}{TASK_SEPARATOR}{number}'
 
 
 def split_task_id(task_id):
-    """Return the workload's id of a task's id."""
+    """Return the workload id that a task id contains."""
     return task_id.rpartition(TASK_SEPARATOR)[0]
 
 
 def read_unix_ms(text):
-    """Return when a UUID version 7 was made, or None if it is not one."""
+    """Return the creation time of a UUID version 7, or None for other text.
+
+    :returns: Unix time in milliseconds, or None
+    """
     try:
         value = uuid.UUID(text)
     except ValueError:
         return None
     if value.version != _VERSION_7:
         return None
-    return value.int >> _TIME_SHIFT
+    return value.int >> _TIMESTAMP_SHIFT_BITS
 
 
 def rank_by_rendezvous(key, names):
-    """Return the names in the order in which they win the key.
+    """Return the names by rendezvous weight for a key, highest first.
 
-    Taking a name away leaves the order of the others as it was.
+    Removing a name does not change the order of the others.
     """
-    return sorted(names, key=lambda name: _weigh(key, name), reverse=True)
+    return sorted(
+        names, key=lambda name: _compute_weight(key, name), reverse=True
+    )
 
 
 def hash_to_shard(key, shards):
-    """Return the shard of a key, 0 to shards - 1, alike everywhere."""
+    """Return the shard of a key, from 0 to ``shards - 1``.
+
+    All processes and versions must agree on the result.
+    """
     return xxhash.xxh64_intdigest(key.encode()) % shards
 
 
-def _weigh(key, name):
+def _compute_weight(key, name):
     return (xxhash.xxh64_intdigest(f'{key}\0{name}'.encode()), name)
--- a/packages/core/portwharf/core/ids_test.py
+++ b/packages/core/portwharf/core/ids_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Ids sort by time; rendezvous moves only what it must."""
+"""Ids contain their creation time; rendezvous hashing is stable."""
 
 import time
 
@@ -9,33 +9,33 @@
 NAMES = [f'vm-{number}' for number in range(11)]
 
 
-def test_id_tells_when_it_was_made(case):
+def test_id_contains_its_creation_time(case):
     before = time.time_ns() // 1_000_000
-    made = ids.read_unix_ms(ids.make_id())
-    case.assertGreaterEqual(made, before)
-    case.assertLessEqual(made, time.time_ns() // 1_000_000 + 1)
+    created = ids.read_unix_ms(ids.make_id())
+    case.assertGreaterEqual(created, before)
+    case.assertLessEqual(created, time.time_ns() // 1_000_000 + 1)
 
 
-def test_other_text_is_no_id(case):
+def test_text_that_is_not_a_uuid_7_has_no_creation_time(case):
     case.assertIsNone(ids.read_unix_ms('hello'))
     case.assertIsNone(ids.read_unix_ms('0f8fad5b-d9cb-469f-a165-70867728950e'))
 
 
-def test_task_id_gives_its_workload(case):
+def test_task_id_contains_its_workload_id(case):
     task = ids.make_task_id('0-abc', 17)
     case.assertEqual(ids.split_task_id(task), '0-abc')
 
 
-def test_rank_ignores_the_order_given(case):
+def test_rank_does_not_depend_on_the_order_of_the_names(case):
     ranked = ids.rank_by_rendezvous('key', NAMES)
     case.assertEqual(ids.rank_by_rendezvous('key', NAMES[::-1]), ranked)
 
 
-def test_rank_keeps_its_order_when_one_leaves(case):
+def test_rank_keeps_its_order_when_a_name_is_removed(case):
     ranked = ids.rank_by_rendezvous('key', NAMES)
-    fewer = [name for name in NAMES if name != ranked[3]]
+    remaining = [name for name in NAMES if name != ranked[3]]
     case.assertEqual(
-        ids.rank_by_rendezvous('key', fewer), ranked[:3] + ranked[4:]
+        ids.rank_by_rendezvous('key', remaining), ranked[:3] + ranked[4:]
     )
 
 
--- a/packages/core/portwharf/core/logs.py
+++ b/packages/core/portwharf/core/logs.py
@@ -2,11 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Structured logs, as JSON lines or as text.
 
-Ids go on the line by ``extra=logs.fields(task=..., attempt=...)``; both
-formats print them. The platform collects what a process prints: a VM of
-ours has no disk. A reader that has stopped must not hold the process up, so
-that long-running programs print by :class:`Printer`, which drops lines that
-it cannot get rid of, and says how many.
+``extra=logs.fields(task=..., attempt=...)`` adds fields to a log line in
+both formats. VMs have no disk, so logs go to a standard stream that the
+platform collects. Long-running programs write through :class:`Printer`, so
+that a reader that has stopped does not block them.
 """
 
 import logging
@@ -19,9 +18,9 @@
 
 LOG = logging.getLogger(__name__)
 
-CRASH_EXIT = 70
-# Lines that may wait to be printed: some seconds of a busy owner's.
-MAX_LINES = 5000
+CRASH_EXIT_STATUS = 70
+# Holds a few seconds of a busy owner's log.
+MAX_QUEUED_LINES = 5000
 FIELD_NAMES = (
     'request',
     'workload',
@@ -58,7 +57,7 @@
 
 
 class _TextFormatter(logging.Formatter):
-    """Text lines with the ids that were given, as name=value."""
+    """Formats text lines with the given fields appended as name=value."""
 
     def format(self, record):
         line = super().format(record)
@@ -70,9 +69,9 @@
 
 
 def fields(**values):
-    """Return ids as what ``extra`` takes.
+    """Return log fields in the form that ``extra`` takes.
 
-    :raises ValueError: a name that is not one of ``FIELD_NAMES``
+    :raises ValueError: a name is not one of ``FIELD_NAMES``
     """
     unknown = set(values) - set(FIELD_NAMES)
     if unknown:
@@ -81,46 +80,57 @@
 
 
 def end_on_crash():
-    """End the process when one of its threads fails.
+    """Make an uncaught exception in any thread terminate the process.
 
-    A thread ends by an exception only when an invariant is broken; a
-    process that went on without it would look alive and do nothing. The
-    platform starts it again.
+    An uncaught exception means that an invariant is broken. Without the
+    thread the process would appear healthy but do no work; the platform
+    restarts it.
     """
 
-    def handle(crash):
-        error = (crash.exc_type, crash.exc_value, crash.exc_traceback)
-        LOG.critical('thread %s failed', crash.thread, exc_info=error)
+    def handle(args):
+        exc_info = (args.exc_type, args.exc_value, args.exc_traceback)
+        LOG.critical('thread %s failed', args.thread, exc_info=exc_info)
         logging.shutdown()
-        os._exit(CRASH_EXIT)
+        os._exit(CRASH_EXIT_STATUS)
 
     threading.excepthook = handle
 
 
 class Printer:
-    """A stream whose writing never blocks; a thread does the printing."""
+    """A stream whose ``write`` never blocks.
 
-    def __init__(self, stream, most=MAX_LINES):
-        """Take the stream and how many lines may wait for it."""
+    A background thread writes queued lines to the underlying stream. Lines
+    that do not fit into the queue are dropped and counted; the count is
+    written with the next line that succeeds.
+    """
+
+    def __init__(self, stream, max_lines=MAX_QUEUED_LINES):
+        """Start the thread that writes to ``stream``.
+
+        :param max_lines: capacity of the queue
+        """
         self._stream = stream
-        self._lines = queue.Queue(most)
-        self._dropped = 0
+        self._lines = queue.Queue(max_lines)
+        self._dropped_count = 0
         threading.Thread(
-            target=self._print_all, name='printer', daemon=True
+            target=self._write_queued, name='printer', daemon=True
         ).start()
 
     def write(self, text):
-        """Print some text soon, or drop it."""
+        """Queue text to be written, or drop it if the queue is full."""
         try:
             self._lines.put_nowait(text)
         except queue.Full:
-            self._dropped += 1
+            self._dropped_count += 1
 
     def flush(self):
-        """Nothing waits here for more to come."""
+        """Do nothing; the background thread flushes after each line."""
 
     def wait_until_printed(self, seconds):
-        """Give what waits some seconds to be printed."""
+        """Wait until all queued lines are written.
+
+        :param seconds: timeout for queueing and again for writing
+        """
         printed = threading.Event()
         try:
             self._lines.put(printed, timeout=seconds)
@@ -128,28 +138,29 @@
             return
         printed.wait(seconds)
 
-    def _print_all(self):
+    def _write_queued(self):
         while True:
             text = self._lines.get()
             if isinstance(text, threading.Event):
                 text.set()
                 continue
-            if self._dropped:
-                dropped, self._dropped = self._dropped, 0
+            if self._dropped_count:
+                dropped, self._dropped_count = self._dropped_count, 0
                 text += f'{{"message": "{dropped} lines were dropped"}}\n'
             try:
                 self._stream.write(text)
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads: the count of dropped lines tells later.
-                self._dropped += 1
+                # The failed line is reported with the dropped ones.
+                self._dropped_count += 1
 
 
 def set_up(style, level, stream=None):
-    """Send all logs to a stream, standard error if none is given.
+    """Configure the root logger to write to a stream.
 
     :param style: ``json`` or ``text``
-    :param level: a level's name, as in ``INFO``
+    :param level: name of the lowest level that is logged, as in ``INFO``
+    :param stream: where to write, or None for standard error
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     if style == 'json':
--- a/packages/core/portwharf/core/logs_test.py
+++ b/packages/core/portwharf/core/logs_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Ids stand on the line in both styles; a failed thread ends all."""
+"""Log fields are written in both styles; a failed thread exits."""
 
 import contextlib
 import io
@@ -25,9 +25,9 @@
 
 
 def write_line(case, style):
-    """Return what a style prints for one line with ids."""
+    """Return the output of a style for one line with fields."""
     root = logging.getLogger()
-    kept = list(root.handlers), root.level
+    saved = list(root.handlers), root.level
     text = io.StringIO()
     try:
         with contextlib.redirect_stderr(text):
@@ -35,18 +35,18 @@
             extra = logs.fields(task='0-a.1', attempt=2)
             logging.getLogger('x').info('hello', extra=extra)
     finally:
-        root.handlers[:], level = kept
+        root.handlers[:], level = saved
         root.setLevel(level)
     return text.getvalue()
 
 
-def test_json_line_has_ids_as_fields(case):
+def test_json_line_contains_the_fields(case):
     line = json.loads(write_line(case, 'json'))
     case.assertEqual(line['message'], 'hello')
     case.assertEqual((line['task'], line['attempt']), ('0-a.1', 2))
 
 
-def test_text_line_ends_with_ids(case):
+def test_text_line_ends_with_the_fields(case):
     line = write_line(case, 'text')
     case.assertTrue(line.endswith('hello task=0-a.1 attempt=2\n'), line)
 
@@ -60,32 +60,32 @@
     done = subprocess.run(
         [sys.executable, '-c', CRASH], capture_output=True, check=False
     )
-    case.assertEqual(done.returncode, logs.CRASH_EXIT)
+    case.assertEqual(done.returncode, logs.CRASH_EXIT_STATUS)
     case.assertIn(b'ZeroDivisionError', done.stderr)
 
 
-class Stuck:
-    """A stream that nobody reads until it is let go."""
+class BlockedStream:
+    """A stream whose ``write`` blocks until it is released."""
 
     def __init__(self):
-        self.go = threading.Event()
+        self.released = threading.Event()
         self.written = []
 
     def write(self, text):
         """Block as a full pipe does."""
-        self.go.wait(20)
+        self.released.wait(20)
         self.written.append(text)
 
     def flush(self):
-        """Nothing is kept back."""
+        """Do nothing; writes are not buffered."""
 
 
-def test_reader_that_has_stopped_holds_nobody_up(case):
-    stuck = Stuck()
-    printer = logs.Printer(stuck, 3)
+def test_blocked_stream_does_not_block_the_writer(case):
+    stream = BlockedStream()
+    printer = logs.Printer(stream, 3)
     for number in range(50):
         printer.write(f'{number}\n')
-    stuck.go.set()
+    stream.released.set()
     printer.wait_until_printed(20)
-    case.assertIn('lines were dropped', ''.join(stuck.written))
-    case.assertLess(len(stuck.written), 10)
+    case.assertIn('lines were dropped', ''.join(stream.written))
+    case.assertLess(len(stream.written), 10)
--- a/packages/core/portwharf/core/pools.py
+++ b/packages/core/portwharf/core/pools.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Pools of HTTP connections of which some may have gone silent.
+"""Closing the idle connections of an HTTP connection pool.
 
-Open connections may go silent for good while new ones work, all at once.
-A call whose time is up closes its own; the others that lie idle would each
-cost another call its time.
+A network fault can make all open connections stop responding while new ones
+work. A call that times out closes its own connection only; each idle one
+that is left in the pool would make another call time out.
 """
 
 import queue
@@ -13,33 +13,33 @@
 def drop_idle(pool):
     """Close the connections of a pool that no call is using.
 
-    Those in use stay: a call that waits may be answered yet, and each has a
-    limit of its own.
+    Connections in use stay open: their calls may still be answered, and
+    each call has its own timeout.
 
     :param pool: a ``urllib3.HTTPConnectionPool``
     """
-    waiting = pool.pool
-    if waiting is None:
+    idle = pool.pool
+    if idle is None:
         # The pool is closed.
         return
-    # A place that was emptied stays one, for a connection that comes back;
-    # others take and give back meanwhile.
-    places = [_take(waiting) for _ in range(waiting.qsize())]
-    for conn in places:
+    # Each slot that is taken is returned empty, so that the pool keeps its
+    # size. Other threads may take and return connections concurrently.
+    slots = [_take_slot(idle) for _ in range(idle.qsize())]
+    for conn in slots:
         if conn is not None:
             conn.close()
-        _give_back(waiting)
+        _return_empty_slot(idle)
 
 
-def _take(waiting):
+def _take_slot(idle):
     try:
-        return waiting.get_nowait()
+        return idle.get_nowait()
     except queue.Empty:
         return None
 
 
-def _give_back(waiting):
+def _return_empty_slot(idle):
     try:
-        waiting.put_nowait(None)
+        idle.put_nowait(None)
     except queue.Full:
         pass
--- a/packages/core/portwharf/core/pools_test.py
+++ b/packages/core/portwharf/core/pools_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Connections that lie idle are closed, and their places stay."""
+"""Idle connections are closed, and the pool keeps its size."""
 
 import urllib3
 
@@ -9,45 +9,45 @@
 SIZE = 3
 
 
-class Conn:
-    """A connection that notes its end."""
+class FakeConnection:
+    """A connection that records whether it was closed."""
 
     closed = False
 
     def close(self):
-        """End."""
+        """Record the call."""
         self.closed = True
 
 
 def make_pool(conns):
-    """Return a pool in which some connections lie idle."""
-    made = urllib3.HTTPConnectionPool('127.0.0.1', 1, maxsize=SIZE)
+    """Return a connection pool that holds some idle connections."""
+    pool = urllib3.HTTPConnectionPool('127.0.0.1', 1, maxsize=SIZE)
     for conn in conns:
-        made.pool.get_nowait()
+        pool.pool.get_nowait()
     for conn in conns:
-        made.pool.put_nowait(conn)
-    return made
+        pool.pool.put_nowait(conn)
+    return pool
 
 
-def test_all_that_lie_idle_are_closed_and_their_places_stay(case):
-    conns = [Conn(), Conn()]
-    made = make_pool(conns)
-    pools.drop_idle(made)
+def test_idle_connections_are_closed_and_the_pool_keeps_its_size(case):
+    conns = [FakeConnection(), FakeConnection()]
+    pool = make_pool(conns)
+    pools.drop_idle(pool)
     case.assertEqual([conn.closed for conn in conns], [True, True])
-    left = [made.pool.get_nowait() for _ in range(made.pool.qsize())]
-    case.assertEqual(left, [None] * SIZE)
+    slots = [pool.pool.get_nowait() for _ in range(pool.pool.qsize())]
+    case.assertEqual(slots, [None] * SIZE)
 
 
-def test_connection_in_use_stays_and_finds_its_place(case):
-    idle, used = Conn(), Conn()
-    made = make_pool([idle, used])
-    case.assertIs(made.pool.get_nowait(), used)
-    pools.drop_idle(made)
-    made.pool.put_nowait(used)
+def test_connection_in_use_stays_open_and_can_be_returned(case):
+    idle, used = FakeConnection(), FakeConnection()
+    pool = make_pool([idle, used])
+    case.assertIs(pool.pool.get_nowait(), used)
+    pools.drop_idle(pool)
+    pool.pool.put_nowait(used)
     case.assertEqual((idle.closed, used.closed), (True, False))
 
 
-def test_closed_pool_has_nothing_to_drop(case):
-    made = make_pool([])
-    made.close()
-    pools.drop_idle(made)
+def test_closed_pool_is_accepted(case):
+    pool = make_pool([])
+    pool.close()
+    pools.drop_idle(pool)
--- a/packages/core/portwharf/core/recent.py
+++ b/packages/core/portwharf/core/recent.py
@@ -1,52 +1,55 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A map of bounded size that drops the oldest, but never what is in use."""
+"""A bounded cache that never evicts entries in use."""
 
 __all__ = ['Recent']
 
 
 class Recent:
-    """The latest entries, and all that are in use, by name."""
+    """Maps keys to values and evicts the entry that was written first.
 
-    def __init__(self, most):
-        """Take how many entries are kept, unless more are in use."""
-        self._most = most
+    Keys in use are never evicted, so that the size may exceed the limit
+    while more keys than that are in use.
+    """
+
+    def __init__(self, max_entries):
+        self._max_entries = max_entries
         self._values = {}
-        self._used = frozenset()
+        self._in_use = frozenset()
 
-    def __contains__(self, name):
-        return name in self._values
+    def __contains__(self, key):
+        return key in self._values
 
     def __len__(self):
         return len(self._values)
 
-    def use(self, names):
-        """Say which names are in use from now on."""
-        self._used = frozenset(names)
+    def use(self, keys):
+        """Set the keys that are in use, replacing those set before."""
+        self._in_use = frozenset(keys)
 
-    def get(self, name, default=None):
-        """Return the value under a name, or the default."""
-        return self._values.get(name, default)
+    def get(self, key, default=None):
+        """Return the value of a key, or the default."""
+        return self._values.get(key, default)
 
-    def put(self, name, value):
-        """Set a value; it is the latest now."""
-        self._values.pop(name, None)
-        self._values[name] = value
-        if len(self._values) > self._most:
-            self._drop()
+    def put(self, key, value):
+        """Set a value as the most recent one, evicting one if need be."""
+        self._values.pop(key, None)
+        self._values[key] = value
+        if len(self._values) > self._max_entries:
+            self._evict()
 
     def clear(self):
-        """Forget everything."""
+        """Remove all entries."""
         self._values.clear()
 
-    def _drop(self):
-        """Drop the oldest entry that is not in use.
+    def _evict(self):
+        """Remove the oldest entry that is not in use.
 
-        What is in use is counted as the latest, so that it is not looked at
-        again each time.
+        Entries in use that are found on the way become the most recent, so
+        that later evictions need not skip them again.
         """
-        for name in list(self._values):
-            if name not in self._used:
-                del self._values[name]
+        for key in list(self._values):
+            if key not in self._in_use:
+                del self._values[key]
                 return
-            self._values[name] = self._values.pop(name)
+            self._values[key] = self._values.pop(key)
--- a/packages/core/portwharf/core/settings.py
+++ b/packages/core/portwharf/core/settings.py
@@ -1,11 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Read TOML, check it as a whole and say everything that is wrong.
+"""Reading and validation of TOML settings files.
 
-The rules are a ``voluptuous`` schema that each binary gives; this module
-turns its errors into :class:`portwharf.core.data.Problem` values that name
-the field, the value and the remedy. Nothing is used from a file that has a
-problem anywhere.
+Each binary defines its rules as a ``voluptuous`` schema. This module reports
+all errors at once as :class:`portwharf.core.data.Problem` values, with the
+field, the value and the remedy. A file with any problem is rejected.
 """
 
 import dataclasses
@@ -18,7 +17,7 @@
 
 from portwharf.core import data
 
-# What a check raises for a value that it does not accept.
+# Raised by a check that rejects a value.
 Invalid = voluptuous.Invalid
 MAX_PORT = 65535
 MAX_NAME = 63
@@ -26,14 +25,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Endpoint:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     address: str = ''
     port: int = 0
 
 
 def read_file(path, schema):
-    """Read and check a TOML file.
+    """Read and validate a TOML file.
 
     :returns: Ok(map), or Err(list of problems)
     """
@@ -52,7 +51,7 @@
 
 
 def check_text(text, schema):
-    """Check TOML text against a schema.
+    """Validate TOML text against a schema.
 
     :returns: Ok(map with defaults filled in), or Err(list of problems)
     """
@@ -61,15 +60,15 @@
     except tomllib.TOMLDecodeError as exc:
         problem = data.Problem(
             code='not-toml',
-            text=f'is not TOML: {exc}',
-            remedy='mend the line that is named',
+            text=f'is not valid TOML: {exc}',
+            remedy='fix the line that the error names',
         )
         return result.Err([problem])
     return check_values(values, schema)
 
 
 def check_values(values, schema):
-    """Check a map against a schema.
+    """Validate a map against a schema.
 
     :returns: Ok(map with defaults filled in), or Err(list of problems)
     """
@@ -77,13 +76,13 @@
         return result.Ok(schema(values))
     except voluptuous.MultipleInvalid as exc:
         problems = [
-            _describe(error, values, schema.schema) for error in exc.errors
+            _make_problem(error, values, schema.schema) for error in exc.errors
         ]
         return result.Err(problems)
 
 
 def ip_address(value):
-    """Accept an IP number, as text."""
+    """Check that a value is an IP address, as text."""
     try:
         return str(ipaddress.ip_address(value))
     except ValueError as exc:
@@ -93,40 +92,40 @@
 
 
 def port(value):
-    """Accept a TCP port."""
+    """Check that a value is a TCP port."""
     return whole(1, MAX_PORT)(value)
 
 
-def whole(least, most):
-    """Return a check for a whole number in a range."""
+def whole(low, high):
+    """Return a check for a whole number in a range, bounds included."""
 
     def check(value):
-        good = isinstance(value, int) and not isinstance(value, bool)
-        if not good or not least <= value <= most:
+        valid = isinstance(value, int) and not isinstance(value, bool)
+        if not valid or not low <= value <= high:
             raise voluptuous.Invalid(
-                f'must be a whole number from {least:,} to {most:,}'
+                f'must be a whole number from {low:,} to {high:,}'
             )
         return value
 
     return check
 
 
-def number(least, most):
-    """Return a check for a number in a range."""
+def number(low, high):
+    """Return a check for a number in a range, bounds included."""
 
     def check(value):
-        good = isinstance(value, (int, float))
-        if not good or isinstance(value, bool) or not least <= value <= most:
-            raise voluptuous.Invalid(f'must be a number, {least} to {most}')
+        valid = isinstance(value, (int, float))
+        if not valid or isinstance(value, bool) or not low <= value <= high:
+            raise voluptuous.Invalid(f'must be a number from {low} to {high}')
         return float(value)
 
     return check
 
 
 def name(value):
-    """Accept a name: letters, digits, dots and dashes."""
-    good = isinstance(value, str) and 0 < len(value) <= MAX_NAME
-    if not good or not value.replace('-', 'a').replace('.', 'a').isalnum():
+    """Check that a value is a name: letters, digits, dots and dashes."""
+    valid = isinstance(value, str) and 0 < len(value) <= MAX_NAME
+    if not valid or not value.replace('-', 'a').replace('.', 'a').isalnum():
         raise voluptuous.Invalid(
             'must be letters, digits, dots and dashes, at most '
             f'{MAX_NAME} of them'
@@ -135,7 +134,7 @@
 
 
 def one_of(*choices):
-    """Return a check for one of some words."""
+    """Return a check that a value is one of the given ones."""
 
     def check(value):
         if value not in choices:
@@ -147,7 +146,7 @@
 
 
 def check_tls(values):
-    """Return the problems of a ``tls`` table that no rule covers alone."""
+    """Return the problems of a ``tls`` table that no single rule finds."""
     files = [values[name] for name in ('certificate', 'key', 'authority')]
     if values['plaintext'] and any(files):
         return [
@@ -155,8 +154,8 @@
                 'bad-setting',
                 'tls.plaintext',
                 'true',
-                'cannot go with certificate files',
-                'remove one or the other',
+                'cannot be combined with certificate files',
+                'remove plaintext or the certificate files',
             )
         ]
     if not values['plaintext'] and not all(files):
@@ -165,21 +164,22 @@
                 'bad-setting',
                 'tls',
                 '',
-                'certificate, key and authority are needed',
-                'give all three, or set plaintext = true to go without',
+                'certificate, key and authority are required',
+                'set all three, or set plaintext = true to disable TLS',
             )
         ]
     return []
 
 
-def _describe(error, values, schema):
+def _make_problem(error, values, schema):
+    """Return a ``voluptuous`` error as a Problem."""
     path = '.'.join(str(part) for part in error.path)
     text = error.msg
     remedy = 'see the examples under examples/'
-    value = _look_up(values, error.path)
+    value = _format_value(values, error.path)
     if text == 'extra keys not allowed':
         text = 'is not a known key'
-        remedy = _suggest(error.path, schema)
+        remedy = _suggest_key(error.path, schema)
         value = ''
     elif text == 'required key not provided':
         text = 'is missing'
@@ -192,7 +192,8 @@
     )
 
 
-def _look_up(values, path):
+def _format_value(values, path):
+    """Return the value at a path as text, or '' if there is none."""
     for part in path:
         try:
             values = (
@@ -205,18 +206,19 @@
     return repr(values)
 
 
-def _suggest(path, schema):
-    """Name the known key that is nearest to an unknown one."""
+def _suggest_key(path, schema):
+    """Return a hint with the most similar known key, or with all of them."""
     for part in path[:-1]:
-        schema = _descend(schema, part)
+        schema = _get_subschema(schema, part)
     known = sorted(str(key) for key in schema) if schema else []
-    near = difflib.get_close_matches(str(path[-1]), known, n=1, cutoff=0.4)
-    if near:
-        return f'did you mean "{near[0]}"?'
+    similar = difflib.get_close_matches(str(path[-1]), known, n=1, cutoff=0.4)
+    if similar:
+        return f'did you mean "{similar[0]}"?'
     return f'known keys here: {", ".join(known)}'
 
 
-def _descend(schema, part):
+def _get_subschema(schema, part):
+    """Return the schema of a part of a path; ``str`` keys match any part."""
     if isinstance(schema, list):
         return schema[0]
     for key, value in schema.items():
@@ -225,7 +227,7 @@
     return {}
 
 
-# Tables that stand in the settings of both binaries.
+# Tables that the settings of several binaries have in common.
 ENDPOINT = {
     voluptuous.Required('address'): ip_address,
     voluptuous.Required('port'): port,
--- a/packages/core/portwharf/core/settings_test.py
+++ b/packages/core/portwharf/core/settings_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Every error of a settings file is found at once, with its remedy."""
+"""All errors in a settings file are reported at once, with remedies."""
 
 import voluptuous
 
@@ -20,28 +20,28 @@
 
 
 def check(text):
-    """Return the problems of a text."""
+    """Return the problems of a settings text."""
     return settings.check_text(text, SCHEMA).err_value
 
 
-def test_good_text_gets_its_defaults(case):
+def test_valid_text_is_completed_with_defaults(case):
     values = settings.check_text(GOOD, SCHEMA).ok_value
     case.assertEqual(values['vm']['share'], 1.0)
     case.assertEqual(values['log'], {'style': 'json', 'level': 'INFO'})
 
 
-def test_all_errors_are_found(case):
+def test_all_errors_are_reported(case):
     text = '[vm]\naddress = "vm.example"\nport = 0\nshare = 2\nprot = 1\n'
     fields = {problem.field for problem in check(text)}
     case.assertEqual(fields, {'vm.address', 'vm.port', 'vm.share', 'vm.prot'})
 
 
-def test_unknown_key_names_the_nearest(case):
+def test_similar_key_is_suggested_for_an_unknown_key(case):
     (problem,) = check(GOOD + 'shar = 0.5\n')
     case.assertEqual(problem.remedy, 'did you mean "share"?')
 
 
-def test_unknown_key_without_a_near_one_lists_all(case):
+def test_all_keys_are_listed_if_none_is_similar(case):
     (problem,) = check(GOOD + 'zzz = 0.5\n')
     case.assertIn('address, port, share', problem.remedy)
 
@@ -57,21 +57,21 @@
     case.assertIn('from 1 to 65,535', problem.text)
 
 
-def test_text_that_is_not_toml_is_told(case):
+def test_text_that_is_not_toml_is_reported(case):
     (problem,) = check('[vm\n')
     case.assertEqual(problem.code, 'not-toml')
 
 
-def test_missing_file_is_told(case):
+def test_missing_file_is_reported(case):
     read = settings.read_file('/nowhere/at/all.toml', SCHEMA)
     case.assertEqual(read.err_value[0].code, 'unreadable')
 
 
-def test_true_is_no_number(case):
+def test_true_is_not_a_number(case):
     case.assertEqual(check(GOOD.replace('7000', 'true'))[0].field, 'vm.port')
 
 
-def test_tls_is_off_only_when_told(case):
+def test_tls_is_off_only_if_plaintext_is_set(case):
     values = {'plaintext': False, 'certificate': '', 'key': ''}
     values['authority'] = ''
     case.assertEqual(len(settings.check_tls(values)), 1)
--- a/packages/core/portwharf/core/stops.py
+++ b/packages/core/portwharf/core/stops.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Waiting for a planned stop, which a signal asks for.
+"""Graceful shutdown of a process that a signal requests.
 
-The kernel may give a signal to any thread, as it does right after a pause.
-Handlers run in the main thread, which is not woken by it, so that it must
-not wait without a limit.
+The kernel may deliver a signal to any thread, as it does right after the
+process is resumed. Python runs the handler in the main thread, which the
+signal does not wake, so the main thread must not wait without a timeout.
 """
 
 import logging
@@ -13,27 +13,28 @@
 
 LOG = logging.getLogger(__name__)
 
-# How late a stop may be heard; what a platform gives for it is seconds.
-LOOK_SECONDS = 0.5
+# The longest time by which a shutdown request may be noticed late; the
+# platform's grace period is several seconds.
+POLL_INTERVAL_SECONDS = 0.5
 
 
-def wait_until_asked(asked):
-    """Wait in the main thread until a signal's handler has set an event."""
-    while not asked.wait(LOOK_SECONDS):
+def wait_until_asked(stop_requested):
+    """Wait in the main thread until a signal handler has set an event."""
+    while not stop_requested.wait(POLL_INTERVAL_SECONDS):
         continue
 
 
 def end_within(seconds):
-    """End this process after some seconds, if it has not ended by then.
+    """Exit the process after some seconds unless it has exited before.
 
-    Whatever its end waits for may be silent; a process that outlives what
-    it was given is killed with its last lines unprinted.
+    Shutdown may wait for a peer that does not respond. If the platform had
+    to kill the process, its last log lines would be lost.
     """
-    timer = threading.Timer(seconds, _end)
+    timer = threading.Timer(seconds, _exit)
     timer.daemon = True
     timer.start()
 
 
-def _end():
-    LOG.error('process did not end by itself in time')
+def _exit():
+    LOG.error('shutdown timed out, exiting')
     os._exit(0)
--- a/packages/core/portwharf/core/stops_test.py
+++ b/packages/core/portwharf/core/stops_test.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A stop is heard whichever thread the kernel gives the signal to."""
+"""A shutdown request is noticed whichever thread receives the signal."""
 
 import signal
 import subprocess
 import sys
 
-# Right after a pause the main thread is passed over most of the times.
+# Right after a resume the kernel prefers another thread in most rounds.
 ROUNDS = 8
 PROGRAM = """
 import signal
@@ -23,7 +23,7 @@
 """
 
 
-def test_stop_that_comes_as_a_pause_ends_is_heard(case):
+def test_signal_that_arrives_as_the_process_resumes_is_noticed(case):
     for _ in range(ROUNDS):
         argv = [sys.executable, '-c', PROGRAM]
         with subprocess.Popen(argv, stdout=subprocess.PIPE) as program:
@@ -36,7 +36,7 @@
                 out, _ = program.communicate(timeout=5)
             except subprocess.TimeoutExpired:
                 program.kill()
-                case.fail('not heard')
+                case.fail('shutdown request was not noticed')
         case.assertEqual(out, b'asked\n')
 
 
@@ -49,7 +49,7 @@
 """
 
 
-def test_process_whose_end_waits_for_something_silent_ends_all_the_same(case):
+def test_process_whose_shutdown_hangs_exits_after_the_timeout(case):
     argv = [sys.executable, '-c', HANGING]
     with subprocess.Popen(argv) as program:
         case.addCleanup(program.kill)
--- a/packages/core/portwharf/core/web.py
+++ b/packages/core/portwharf/core/web.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""HTTP serving by ``cheroot``: pages, a server as a context manager.
+"""HTTP serving with ``cheroot``: status pages, a server, WSGI helpers.
 
-``/healthz`` says that the process runs, ``/readyz`` that it can take work,
-``/metrics`` gives the metrics to Prometheus.
+``/healthz`` is the liveness check, ``/readyz`` the readiness check and
+``/metrics`` serves the metrics to Prometheus.
 """
 
 import json
@@ -12,9 +12,9 @@
 from cheroot import wsgi
 import prometheus_client
 
-_TEXT = ('Content-Type', 'text/plain; charset=utf-8')
-_JSON = ('Content-Type', 'application/json')
-_REASONS = {
+_TEXT_TYPE = ('Content-Type', 'text/plain; charset=utf-8')
+_JSON_TYPE = ('Content-Type', 'application/json')
+_REASON_PHRASES = {
     200: 'OK',
     400: 'Bad Request',
     404: 'Not Found',
@@ -23,14 +23,14 @@
     500: 'Internal Server Error',
     503: 'Service Unavailable',
 }
-_STOP_SECONDS = 5
+_SHUTDOWN_TIMEOUT_SECONDS = 5
 
 
 class Pages:
-    """The WSGI application of the pages that every process serves."""
+    """The WSGI application of the status pages that every process serves."""
 
     def __init__(self, is_ready):
-        """Take a function that tells whether the process takes work."""
+        """Take a function that returns whether the process accepts work."""
         self._is_ready = is_ready
         self._metrics = prometheus_client.make_wsgi_app()
 
@@ -48,17 +48,23 @@
 
 
 class Server:
-    """A ``cheroot`` server in a thread of its own, while in its block."""
+    """A ``cheroot`` server that runs in a thread; a context manager."""
 
     def __init__(self, address, port, app, threads=4, queue=256):
-        """Bind to an address; port 0 takes any that is free."""
+        """Bind to an address.
+
+        :param port: the port, or 0 for any free one
+        :param app: the WSGI application
+        :param threads: number of threads that handle requests
+        :param queue: size of the listen backlog
+        """
         self._server = wsgi.Server(
             (address, port),
             app,
             numthreads=threads,
             max=threads,
             request_queue_size=queue,
-            shutdown_timeout=_STOP_SECONDS,
+            shutdown_timeout=_SHUTDOWN_TIMEOUT_SECONDS,
         )
         self._server.prepare()
         self._thread = threading.Thread(
@@ -79,49 +85,58 @@
         self._thread.join()
 
     def drain(self, seconds):
-        """Close each connection that has been idle for so long, from now on.
+        """Set the time after which an idle connection is closed.
 
-        Callers that keep a connection open would find an end on it.
+        Called before shutdown, so that persistent connections are closed
+        while they are idle rather than during a request.
+
+        :param seconds: the idle timeout from now on
         """
         self._server.timeout = seconds
 
     def finish(self, seconds):
-        """Take nothing more, and wait for the answers to what was taken.
+        """Stop accepting requests and wait for those in progress.
 
-        :param seconds: how long to wait at the most
-        :returns: whether all were given
+        :param seconds: the longest time to wait
+        :returns: whether all requests in progress were answered
         """
-        stopper = threading.Thread(target=self._server.stop, daemon=True)
-        stopper.start()
-        stopper.join(seconds)
-        return not stopper.is_alive()
+        stop_thread = threading.Thread(target=self._server.stop, daemon=True)
+        stop_thread.start()
+        stop_thread.join(seconds)
+        return not stop_thread.is_alive()
 
 
 def answer_text(start_response, status, text):
     """Answer a WSGI request with plain text."""
-    raw = text.encode()
-    return _answer(start_response, status, raw, _TEXT)
+    body = text.encode()
+    return _answer(start_response, status, body, _TEXT_TYPE)
 
 
 def answer_json(start_response, status, value):
     """Answer a WSGI request with a JSON value."""
-    raw = json.dumps(value).encode()
-    return _answer(start_response, status, raw, _JSON)
+    body = json.dumps(value).encode()
+    return _answer(start_response, status, body, _JSON_TYPE)
 
 
 def read_body(environ):
-    """Return the whole body of a WSGI request."""
+    """Return the body of a WSGI request."""
     length = int(environ.get('CONTENT_LENGTH') or 0)
     return environ['wsgi.input'].read(length)
 
 
 def read_json(environ):
-    """Return the body of a WSGI request as JSON; an empty one as a map."""
-    raw = read_body(environ)
-    return json.loads(raw) if raw else {}
+    """Return the JSON value of a WSGI request's body.
+
+    :returns: the value, or an empty map if the body is empty
+    :raises ValueError: the body is not JSON
+    """
+    body = read_body(environ)
+    return json.loads(body) if body else {}
 
 
-def _answer(start_response, status, raw, kind):
-    headers = [kind, ('Content-Length', str(len(raw)))]
-    start_response(f'{status} {_REASONS.get(status, "Status")}', headers)
-    return [raw]
+def _answer(start_response, status, body, content_type):
+    headers = [content_type, ('Content-Length', str(len(body)))]
+    start_response(
+        f'{status} {_REASON_PHRASES.get(status, "Status")}', headers
+    )
+    return [body]
--- a/packages/core/portwharf/core/web_test.py
+++ b/packages/core/portwharf/core/web_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Health, readiness and metrics pages."""
+"""Status pages, shutdown and idle timeout of the server."""
 
 import concurrent.futures
 import http.client
@@ -14,11 +14,11 @@
 
 def get(port, path):
     """Return status and text of a page."""
-    answer = urllib3.request('GET', f'http://127.0.0.1:{port}{path}')
-    return answer.status, answer.data.decode()
+    response = urllib3.request('GET', f'http://127.0.0.1:{port}{path}')
+    return response.status, response.data.decode()
 
 
-def test_pages_tell_health_readiness_and_metrics(case):
+def test_pages_serve_health_readiness_and_metrics(case):
     ready = []
     port = fixtures.serve(case, web.Pages(lambda: bool(ready)))
     case.assertEqual(get(port, '/healthz')[0], 200)
@@ -29,27 +29,27 @@
     case.assertEqual(get(port, '/else')[0], 404)
 
 
-def test_server_that_finishes_answers_what_it_has_taken(case):
-    asked, let_go = threading.Event(), threading.Event()
+def test_finishing_server_answers_requests_in_progress(case):
+    started, released = threading.Event(), threading.Event()
 
-    def answer(environ, start_response):
-        asked.set()
-        let_go.wait(20)
+    def app(environ, start_response):
+        started.set()
+        released.wait(20)
         return web.answer_text(start_response, 200, 'late\n')
 
-    server = case.enterContext(web.Server('127.0.0.1', 0, answer))
+    server = case.enterContext(web.Server('127.0.0.1', 0, app))
     pool = case.enterContext(concurrent.futures.ThreadPoolExecutor(1))
-    taken = pool.submit(get, server.port, '/')
-    case.assertTrue(asked.wait(20))
-    # It waits no longer than it is told to.
+    fut = pool.submit(get, server.port, '/')
+    case.assertTrue(started.wait(20))
+    # The request outlasts the timeout.
     case.assertFalse(server.finish(0.1))
-    let_go.set()
-    case.assertEqual(taken.result(20), (200, 'late\n'))
+    released.set()
+    case.assertEqual(fut.result(20), (200, 'late\n'))
 
 
-def test_drained_server_closes_a_connection_that_is_idle(case):
-    page = web.Pages(lambda: True)
-    server = case.enterContext(web.Server('127.0.0.1', 0, page))
+def test_draining_server_closes_an_idle_connection(case):
+    app = web.Pages(lambda: True)
+    server = case.enterContext(web.Server('127.0.0.1', 0, app))
     conn = http.client.HTTPConnection('127.0.0.1', server.port, timeout=20)
     conn.request('GET', '/healthz')
     conn.getresponse().read()
--- a/packages/vmlist/portwharf/vmlist/register.py
+++ b/packages/vmlist/portwharf/vmlist/register.py
@@ -169,9 +169,9 @@
 
     def _run(self):
         wait = _FIRST_SECONDS
-        suspensions = clock.SuspensionWatch()
+        suspensions = clock.SuspensionMonitor()
         while not self._stop.is_set():
-            seconds = suspensions.take_seconds()
+            seconds = suspensions.take_suspended_seconds()
             if seconds >= NOTABLE_SECONDS:
                 extra = logs.fields(took_ms=int(seconds * 1000))
                 LOG.warning('the machine was suspended', extra=extra)
