--- a/packages/store/portwharf/store/__init__.py
+++ b/packages/store/portwharf/store/__init__.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's key-value service, behind an abstract class."""
+"""Access to the platform's key-value service."""
 
 from portwharf.store.base import Entry
 from portwharf.store.base import find_prefix_end
--- a/packages/store/portwharf/store/base.py
+++ b/packages/store/portwharf/store/base.py
@@ -1,24 +1,25 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What portwharf needs of the platform's key-value service.
+"""Interface of the platform's key-value service.
 
-Every call gives an outcome as a value. The one that matters is
-``StoreError.unknown``: the call may have taken effect although no answer
-came. A caller that gets it reads back before it does anything else.
+Every call returns its outcome as a ``result`` value. If a call failed with
+``StoreError.unknown`` set, it may have taken effect although no answer was
+received; the caller has to read the key before it continues.
 """
 
 import abc
 import dataclasses
 
-# The service holds no value larger than this.
+# The largest value that the service accepts.
 MAX_VALUE_BYTES = 1_000_000
 
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One key with its value.
+    """A key with its value.
 
-    :param revision: of the key's last change; grows over the whole store
+    :param revision: the revision of the key's last change; revisions
+        increase with every change in the whole store
     """
 
     key: str = ''
@@ -28,9 +29,10 @@
 
 @dataclasses.dataclass(slots=True)
 class StoreError:
-    """A call to the store that gave no answer.
+    """The error of a failed call to the store.
 
-    :param unknown: the call may have taken effect
+    :param text: what failed
+    :param unknown: the call may have taken effect all the same
     """
 
     text: str = ''
@@ -39,10 +41,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Swap:
-    """The answer to a compare-and-swap.
+    """The result of a write.
 
-    :param done: the change was made
-    :param revision: of the change, if made
+    :param done: whether the value was written
+    :param revision: the revision of the change, 0 if not written
     """
 
     done: bool = False
@@ -51,9 +53,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Names:
-    """The keys that begin with some prefix, as of a revision of the store.
+    """The keys with a common prefix at one revision of the store.
 
-    What has changed since is seen by a watch after that revision.
+    A watch from that revision on reports every later change.
     """
 
     keys: list[str] = dataclasses.field(default_factory=list)
@@ -72,78 +74,82 @@
 
     @abc.abstractmethod
     def read_range(self, first, last, limit=0, keys_only=False):
-        """Read the keys from ``first`` up to but without ``last``.
+        """Read the keys from ``first`` up to ``last``, exclusive.
 
-        :param limit: the most entries to give, 0 for all
-        :returns: Ok(list of Entry, by key), or Err(StoreError)
+        :param limit: the most entries to return, 0 for all
+        :param keys_only: leave the entries' values empty
+        :returns: Ok(list of Entry, sorted by key), or Err(StoreError)
         """
 
     @abc.abstractmethod
     def swap(self, key, value, revision, guard=None):
-        """Write a key if its last change is still ``revision``.
+        """Write a key if its revision is still ``revision``.
 
-        :param revision: 0 writes only a key that does not exist
+        :param revision: the expected revision; 0 if the key must not exist
         :param guard: an Entry whose key must be unchanged as well, or None
         :returns: Ok(Swap), or Err(StoreError)
         """
 
     @abc.abstractmethod
     def delete_range(self, first, last):
-        """Delete the keys from ``first`` up to but without ``last``.
+        """Delete the keys from ``first`` up to ``last``, exclusive.
 
-        :returns: Ok(number deleted), or Err(StoreError)
+        :returns: Ok(number of deleted keys), or Err(StoreError)
         """
 
     @abc.abstractmethod
     def wait_for_change(self, key, revision, timeout):
-        """Wait until a key's last change is after ``revision``.
+        """Wait until a key is changed after ``revision``.
 
-        :param timeout: seconds; a watch costs a call however long
-        :returns: Ok(Entry), Ok(None) when time is up or the watch was
-            dropped, or Err(StoreError)
+        :param timeout: in seconds; a watch counts as one call to the store
+            whatever its length
+        :returns: Ok(Entry), Ok(None) on timeout or if the watch was closed,
+            or Err(StoreError)
         """
 
     @abc.abstractmethod
     def list_names(self, prefix):
-        """Read which keys begin with a prefix, as they are now.
+        """List the keys that begin with a prefix.
 
         :returns: Ok(Names), or Err(StoreError)
         """
 
     @abc.abstractmethod
     def wait_for_names(self, prefix, revision, timeout):
-        """Wait until a key that begins with a prefix is written, or goes.
+        """Wait until a key that begins with a prefix is written or deleted.
 
-        :param revision: as ``Names`` gives it
-        :param timeout: seconds; a watch costs a call however long
-        :returns: Ok(Names) without keys, with the revision up to which
-            nothing changed, 0 if something may have; or Err(StoreError)
+        :param revision: the revision of the last known ``Names``
+        :param timeout: in seconds; a watch counts as one call to the store
+            whatever its length
+        :returns: Ok(Names) without keys, or Err(StoreError); the revision
+            is one up to which no key changed, or 0 if one may have changed
         """
 
 
 class LeaseStore(Store):
-    """A store that has leases: keys that go when nobody renews them."""
+    """A store with leases: it deletes the keys of a lease that expires."""
 
     @abc.abstractmethod
     def put(self, key, value, lease):
-        """Write a key, whatever it holds, under a lease.
+        """Write a key unconditionally and attach it to a lease.
 
-        :param lease: from :meth:`open_lease`, or 0 for none
+        :param lease: a lease from :meth:`open_lease`, or 0 for none
         :returns: Ok(Swap), or Err(StoreError)
         """
 
     @abc.abstractmethod
     def open_lease(self, seconds):
-        """Begin a lease.
+        """Grant a new lease.
 
-        :returns: Ok(number of the lease), or Err(StoreError)
+        :param seconds: time after which it expires unless renewed
+        :returns: Ok(id of the lease), or Err(StoreError)
         """
 
     @abc.abstractmethod
     def keep_lease(self, lease):
         """Renew a lease.
 
-        :returns: Ok(whether it still runs), or Err(StoreError)
+        :returns: Ok(whether it is still valid), or Err(StoreError)
         """
 
 
--- a/packages/store/portwharf/store/budget.py
+++ b/packages/store/portwharf/store/budget.py
@@ -1,12 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A bound on the calls that one process makes to the store.
+"""Client-side rate limit for calls to the store.
 
-The platform's service takes so many calls a second from everybody. Each
-process keeps to a share of its own, so that whatever goes wrong in it, or
-in all of them together after an outage, stays inside the rates. A call
-over the share waits for its turn; one that would wait too long is not made
-at all, which is known to have had no effect.
+The platform's service limits the total rate of calls. Each process keeps to
+a share of its own, so that a faulty process, or all processes together after
+an outage, cannot exceed the total. A call over the limit is delayed; if the
+delay would be too long, the call fails without having any effect.
 """
 
 import threading
@@ -21,18 +20,24 @@
 
 
 class BudgetedStore(base.LeaseStore):
-    """Another store, with a bounded rate of calls."""
+    """Limits the rate of calls to another store with a token bucket."""
 
     def __init__(self, inner, clock, rate=CALLS_PER_SECOND, burst=BURST_CALLS):
-        """Take the store, a clock, and calls a second and at once."""
+        """Wrap a store.
+
+        :param inner: the :class:`base.LeaseStore` that carries out the calls
+        :param clock: a ``clock.Clock``
+        :param rate: calls a second
+        :param burst: the most calls that may be made at once
+        """
         self._inner = inner
         self._clock = clock
         self._rate = rate
         self._burst = burst
         self._lock = threading.Lock()
-        self._free = float(burst)
-        self._counted = clock.read_monotonic()
-        self._pause = threading.Event()
+        self._tokens = float(burst)
+        self._refilled_at = clock.read_monotonic()
+        self._delay = threading.Event()
 
     def __enter__(self):
         self._inner.__enter__()
@@ -78,26 +83,34 @@
         return self._take() or self._inner.keep_lease(lease)
 
     def _take(self):
-        """Take one call out of the budget, waiting for it if need be.
+        """Take a token for one call, waiting for it if necessary.
 
         :returns: None, or Err(StoreError) if the call must not be made
         """
-        wait = self._reserve()
-        if wait is None:
-            return result.Err(base.StoreError('over our own budget of calls'))
-        if wait > 0:
-            self._pause.wait(wait)
+        wait_seconds = self._reserve()
+        if wait_seconds is None:
+            return result.Err(
+                base.StoreError(
+                    "call not made: over this process's rate limit"
+                )
+            )
+        if wait_seconds > 0:
+            self._delay.wait(wait_seconds)
         return None
 
     def _reserve(self):
-        """Return the seconds until our turn, or None if that is too far."""
+        """Reserve a token, which may become available later.
+
+        :returns: the seconds to wait for it, or None if that exceeds
+            ``MAX_WAIT_SECONDS``; no token is reserved then
+        """
         with self._lock:
             now = self._clock.read_monotonic()
-            earned = (now - self._counted) * self._rate
-            self._free = min(self._burst, self._free + earned)
-            self._counted = now
-            wait = max(0.0, (1 - self._free) / self._rate)
-            if wait > MAX_WAIT_SECONDS:
+            refill = (now - self._refilled_at) * self._rate
+            self._tokens = min(self._burst, self._tokens + refill)
+            self._refilled_at = now
+            wait_seconds = max(0.0, (1 - self._tokens) / self._rate)
+            if wait_seconds > MAX_WAIT_SECONDS:
                 return None
-            self._free -= 1
-            return wait
+            self._tokens -= 1
+            return wait_seconds
--- a/packages/store/portwharf/store/etcd.py
+++ b/packages/store/portwharf/store/etcd.py
@@ -1,9 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The store over the published JSON gateway of etcd, version 3.
+"""Store client for the JSON gateway of etcd, version 3.
 
-Keys and values are base64 in its JSON; numbers of 64 bits are text. Used:
-``/v3/kv/range``, ``/v3/kv/txn``, ``/v3/kv/deleterange`` and ``/v3/watch``.
+The gateway's JSON encodes keys and values as base64 and 64-bit integers as
+strings. The client uses ``/v3/kv/range``, ``/v3/kv/txn``,
+``/v3/kv/deleterange`` and ``/v3/watch``.
 """
 
 import base64
@@ -15,17 +16,21 @@
 from portwharf.core import pools
 from portwharf.store import base
 
-CALL_SECONDS = 2.0
-# Calls of one process that may be under way; a watch takes one.
+CALL_TIMEOUT_SECONDS = 2.0
+# Idle connections that are kept; each watch occupies a connection.
 _POOL_SIZE = 8
 
 
 class EtcdStore(base.Store):
-    """A client of the gateway; a context manager that closes it."""
+    """A client of the gateway, which the context manager closes."""
 
-    def __init__(self, pool, call_seconds=CALL_SECONDS):
-        """Take the gateway's connection pool; see :func:`open_etcd`."""
-        self._seconds = call_seconds
+    def __init__(self, pool, call_seconds=CALL_TIMEOUT_SECONDS):
+        """Create a client; see :func:`open_etcd`.
+
+        :param pool: a connection pool for the gateway
+        :param call_seconds: the timeout of a call
+        """
+        self._timeout_seconds = call_seconds
         self._pool = pool
 
     def __enter__(self):
@@ -52,9 +57,9 @@
         return answer.map(_read_entries)
 
     def swap(self, key, value, revision, guard=None):
-        compares = [_compare(key, revision)]
+        compares = [_make_compare(key, revision)]
         if guard is not None:
-            compares.append(_compare(guard.key, guard.revision))
+            compares.append(_make_compare(guard.key, guard.revision))
         put = {'key': _encode(key.encode()), 'value': _encode(value)}
         body = {'compare': compares, 'success': [{'request_put': put}]}
         answer = self._call('/v3/kv/txn', body, changes=True)
@@ -91,29 +96,40 @@
         )
 
     def _watch(self, create, timeout):
-        """Return the first change that a watch shows, as Ok(Entry or None)."""
+        """Wait for the first change that a watch reports.
+
+        :param create: the fields of the gateway's ``create_request``
+        :param timeout: in seconds
+        :returns: Ok(Entry), Ok(None) if there was none, or Err(StoreError)
+        """
         try:
             response = self._pool.request(
                 'POST',
                 '/v3/watch',
                 body=json.dumps({'create_request': create}),
                 preload_content=False,
-                timeout=urllib3.Timeout(connect=self._seconds, read=timeout),
+                timeout=urllib3.Timeout(
+                    connect=self._timeout_seconds, read=timeout
+                ),
             )
         except urllib3.exceptions.HTTPError as exc:
             return result.Err(base.StoreError(str(exc)))
         with response:
-            return _follow_watch(response)
+            return _read_watch(response)
 
     def _call(self, path, body, changes=False):
         """Make one call.
 
-        :param changes: the call may take effect without an answer
+        :param changes: whether the call writes, so that its effect is
+            unknown without an answer
         :returns: Ok(map), or Err(StoreError)
         """
         try:
             response = self._pool.request(
-                'POST', path, body=json.dumps(body), timeout=self._seconds
+                'POST',
+                path,
+                body=json.dumps(body),
+                timeout=self._timeout_seconds,
             )
         except urllib3.exceptions.NewConnectionError as exc:
             return result.Err(base.StoreError(str(exc)))
@@ -125,7 +141,7 @@
 
 
 def open_etcd(address, port):
-    """Return an :class:`EtcdStore` for a gateway's IP number and port."""
+    """Return an :class:`EtcdStore` for a gateway's IP address and port."""
     return EtcdStore(
         urllib3.HTTPConnectionPool(
             address, port, maxsize=_POOL_SIZE, retries=False, block=False
@@ -134,8 +150,8 @@
 
 
 def _read_response(response, changes):
-    # 429 is given before anything is done; any other refusal may have
-    # come from a proxy after the effect.
+    # The gateway sends 429 before it processes the request. Any other error
+    # may come from a proxy after the request has taken effect.
     if response.status == 429:
         return result.Err(base.StoreError('rate exceeded'))
     if response.status != 200:
@@ -147,8 +163,8 @@
         return result.Err(base.StoreError(str(exc), unknown=changes))
 
 
-def _follow_watch(response):
-    """Return the first change that a watch's stream of lines gives."""
+def _read_watch(response):
+    """Return the first change in the stream of lines of a watch."""
     if response.status != 200:
         return result.Err(base.StoreError(f'HTTP status {response.status}'))
     try:
@@ -177,7 +193,7 @@
 
 
 def _make_range(prefix):
-    """Return the fields that name all keys that begin with a prefix."""
+    """Return the range fields for all keys that begin with a prefix."""
     last = base.find_prefix_end(prefix)
     return {
         'key': _encode(prefix.encode()),
@@ -206,7 +222,8 @@
     )
 
 
-def _compare(key, revision):
+def _make_compare(key, revision):
+    """Return the condition that a key's revision is unchanged."""
     return {
         'key': _encode(key.encode()),
         'result': 'EQUAL',
--- a/packages/store/portwharf/store/etcd_test.py
+++ b/packages/store/portwharf/store/etcd_test.py
@@ -1,30 +1,30 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The store adapter against the stand-in, in health and in trouble."""
+"""The etcd client against a fake gateway, with and without faults."""
 
 import threading
 
 from portwharf import store
 from portwharf.testing import fixtures
-from portwharf.testing import kv as standins
+from portwharf.testing import kv as fakes
 
 
 def open_served(case):
-    """Return the adapter on a stand-in behind a real server."""
-    standin = standins.StoreStandIn()
-    port = fixtures.serve(case, standin, threads=8)
-    case.addCleanup(standin.close)
-    return case.enterContext(store.open_etcd('127.0.0.1', port)), standin
+    """Return a client and the fake gateway, which a real server serves."""
+    fake = fakes.StoreStandIn()
+    port = fixtures.serve(case, fake, threads=8)
+    case.addCleanup(fake.close)
+    return case.enterContext(store.open_etcd('127.0.0.1', port)), fake
 
 
-def test_swap_makes_a_key_only_once(case):
+def test_swap_creates_a_key_only_once(case):
     kv, _ = fixtures.make_store()
     case.assertTrue(kv.swap('a', b'one', 0).ok_value.done)
     case.assertFalse(kv.swap('a', b'two', 0).ok_value.done)
     case.assertEqual(kv.read('a').ok_value.value, b'one')
 
 
-def test_swap_follows_the_revision(case):
+def test_swap_requires_the_current_revision(case):
     kv, _ = fixtures.make_store()
     first = kv.swap('a', b'one', 0).ok_value.revision
     second = kv.swap('a', b'two', first).ok_value.revision
@@ -32,7 +32,7 @@
     case.assertFalse(kv.swap('a', b'three', first).ok_value.done)
 
 
-def test_swap_is_held_back_by_its_guard(case):
+def test_swap_requires_an_unchanged_guard(case):
     kv, _ = fixtures.make_store()
     kv.swap('guard', b'', 0)
     guard = kv.read('guard').ok_value
@@ -41,7 +41,7 @@
     case.assertIsNone(kv.read('a').ok_value)
 
 
-def test_range_is_ordered_and_limited(case):
+def test_range_is_sorted_and_limited(case):
     kv, _ = fixtures.make_store()
     for key in ('k/2', 'k/1', 'k/3', 'l/1'):
         kv.swap(key, key.encode(), 0)
@@ -50,7 +50,7 @@
     case.assertEqual([entry.key for entry in entries], ['k/1', 'k/2'])
 
 
-def test_delete_range_leaves_its_end(case):
+def test_delete_range_excludes_its_end(case):
     kv, _ = fixtures.make_store()
     for key in ('k/1', 'k/2', 'k/3'):
         kv.swap(key, b'', 0)
@@ -58,16 +58,16 @@
     case.assertIsNotNone(kv.read('k/3').ok_value)
 
 
-def test_lost_answer_is_unknown(case):
-    kv, standin = fixtures.make_store()
-    standin.faults.lose_answers = 1
+def test_effect_is_unknown_if_the_answer_is_lost(case):
+    kv, fake = fixtures.make_store()
+    fake.faults.lose_answers = 1
     case.assertTrue(kv.swap('a', b'one', 0).err_value.unknown)
     case.assertEqual(kv.read('a').ok_value.value, b'one')
 
 
-def test_rate_refusal_is_no_effect(case):
-    kv, standin = fixtures.make_store()
-    standin.faults.writes_per_second = 1
+def test_call_refused_by_the_rate_limit_has_no_effect(case):
+    kv, fake = fixtures.make_store()
+    fake.faults.writes_per_second = 1
     errors = [
         answer.err_value
         for answer in (kv.swap(f'k{n}', b'', 0) for n in range(20))
@@ -75,24 +75,24 @@
     ]
     case.assertTrue(errors)
     case.assertFalse(any(error.unknown for error in errors))
-    case.assertEqual(len(standin.list_keys()), 20 - len(errors))
+    case.assertEqual(len(fake.list_keys()), 20 - len(errors))
 
 
 def test_calls_are_counted(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     kv.read('a')
     kv.swap('a', b'', 0)
-    case.assertEqual((standin.reads, standin.writes), (1, 1))
+    case.assertEqual((fake.reads, fake.writes), (1, 1))
 
 
-def test_no_server_is_known_to_have_done_nothing(case):
-    kv, standin = open_served(case)
-    with store.open_etcd('127.0.0.1', 1) as nobody:
-        case.assertFalse(nobody.swap('a', b'', 0).err_value.unknown)
+def test_call_without_a_server_has_no_effect(case):
+    kv, fake = open_served(case)
+    with store.open_etcd('127.0.0.1', 1) as unreachable:
+        case.assertFalse(unreachable.swap('a', b'', 0).err_value.unknown)
 
 
-def test_watch_gives_a_change_that_comes_later(case):
-    kv, standin = open_served(case)
+def test_watch_reports_a_later_change(case):
+    kv, fake = open_served(case)
     revision = kv.swap('a', b'one', 0).ok_value.revision
     found = []
     thread = threading.Thread(
@@ -102,10 +102,10 @@
     kv.swap('a', b'two', revision)
     thread.join()
     case.assertEqual(found[0].ok_value.value, b'two')
-    case.assertEqual(standin.watches, 1)
+    case.assertEqual(fake.watches, 1)
 
 
-def test_watch_gives_a_change_that_came_before(case):
+def test_watch_reports_a_change_before_it_was_opened(case):
     kv, _ = open_served(case)
     revision = kv.swap('a', b'one', 0).ok_value.revision
     kv.swap('a', b'two', revision)
@@ -114,20 +114,20 @@
 
 
 def test_dropped_watch_ends_without_a_change(case):
-    kv, standin = open_served(case)
+    kv, fake = open_served(case)
     revision = kv.swap('a', b'one', 0).ok_value.revision
-    standin.faults.drop_watches = True
+    fake.faults.drop_watches = True
     case.assertIsNone(kv.wait_for_change('a', revision, 20).ok_value)
 
 
-def test_slow_answer_is_waited_for(case):
-    kv, standin = open_served(case)
-    standin.faults.slow_seconds = 0.6
+def test_slow_answer_is_accepted(case):
+    kv, fake = open_served(case)
+    fake.faults.slow_seconds = 0.6
     case.assertTrue(kv.swap('a', b'', 0).is_ok())
 
 
-def test_names_are_listed_and_their_changes_seen(case):
-    kv, standin = open_served(case)
+def test_keys_are_listed_and_their_changes_reported(case):
+    kv, fake = open_served(case)
     kv.swap('z/a', b'one', 0)
     kv.swap('zz', b'other', 0)
     names = kv.list_names('z/').ok_value
@@ -135,6 +135,6 @@
     kv.swap('other', b'', 0)
     quiet = kv.wait_for_names('z/', names.revision, 0.2)
     case.assertEqual(quiet.ok_value.revision, names.revision)
-    standin.remove('z/a')
+    fake.remove('z/a')
     changed = kv.wait_for_names('z/', names.revision, 2.0)
     case.assertEqual(changed.ok_value.revision, 0)
