--- a/packages/vmlist/portwharf/vmlist/__init__.py
+++ b/packages/vmlist/portwharf/vmlist/__init__.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Which VMs there are: the platform's list, or what they register."""
+"""Discovery of VMs: by the platform's VM list or by a registry."""
 
 from portwharf.vmlist.base import VmList
 from portwharf.vmlist.http import HttpVmList
 from portwharf.vmlist.register import PREFIX
-from portwharf.vmlist.register import Register
 from portwharf.vmlist.register import Registration
+from portwharf.vmlist.register import Registry
 
-__all__ = ('PREFIX', 'HttpVmList', 'Register', 'Registration', 'VmList')
+__all__ = ('PREFIX', 'HttpVmList', 'Registration', 'Registry', 'VmList')
--- a/packages/vmlist/portwharf/vmlist/base.py
+++ b/packages/vmlist/portwharf/vmlist/base.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What portwharf needs of the platform's list of VMs.
+"""Interface of the platform's list of VMs.
 
-The list lags: a VM may be on it after its end, and a new one may not be on
-it yet. It is trusted for one thing only, that a VM which it has not named
-for long enough is gone, and that only where DESIGN.md says so.
+The list lags: it may contain VMs that have ended and lack VMs that have just
+started. The only conclusion drawn from it is that a VM is gone if it has
+been missing for long enough, and only where DESIGN.md allows that.
 """
 
 import abc
--- a/packages/vmlist/portwharf/vmlist/http.py
+++ b/packages/vmlist/portwharf/vmlist/http.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The VM list over HTTP: ``GET /vms`` gives JSON, a map for each VM."""
+"""The VM list over HTTP: ``GET /vms`` returns JSON with a map for each VM."""
 
 import json
 
@@ -11,16 +11,20 @@
 from portwharf.core import data
 from portwharf.vmlist import base
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 
 
 class HttpVmList(base.VmList):
-    """A client of the list; a context manager that closes it."""
+    """A client of the VM list, which the context manager closes."""
 
     def __init__(self, address, port):
-        """Take the service's IP number and port."""
+        """Create a client of the service at an IP address and port."""
         self._pool = urllib3.HTTPConnectionPool(
-            address, port, maxsize=1, retries=False, timeout=CALL_SECONDS
+            address,
+            port,
+            maxsize=1,
+            retries=False,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
 
     def __enter__(self):
@@ -39,4 +43,4 @@
         except (urllib3.exceptions.HTTPError, TypeError) as exc:
             return result.Err(str(exc))
         except (ValueError, KeyError) as exc:
-            return result.Err(f'not a VM list: {exc}')
+            return result.Err(f'invalid VM list: {exc}')
--- a/packages/vmlist/portwharf/vmlist/metrics.py
+++ b/packages/vmlist/portwharf/vmlist/metrics.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The metrics of the register of VMs."""
+"""Metrics of the VM registry."""
 
 import prometheus_client
 
-SKIPPED = prometheus_client.Counter(
+SKIPPED_ENTRIES = prometheus_client.Counter(
     'portwharf_register_skipped',
     'Looks at entries of the register that could not be read.',
 )
--- a/packages/vmlist/portwharf/vmlist/register.py
+++ b/packages/vmlist/portwharf/vmlist/register.py
@@ -1,13 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""VMs that register themselves in the store, where nobody lists them.
-
-Each process keeps one key under a lease. The register serves for finding
-each other and for noticing who is gone, and never for safety: a key can go
-while its process lives, and comes back as soon as the process sees that.
-The revision of a process's first registration is its fencing token: it
-rises with each start and belongs to one process alone. The key names the
-process's start, so that the token is found although no answer came.
+"""A registry of VMs in the store, for platforms without a VM list.
+
+Each process keeps one key under a lease. The registry is used for discovery
+and to notice failed VMs, never for safety: a key may be deleted while its
+process is running, until the process notices and writes it again. The
+revision of a process's first registration is its fencing token, which is
+unique and increases with each start. The value identifies the start of the
+process, so that the token can be read back if the write was not answered.
 """
 
 import dataclasses
@@ -30,28 +30,26 @@
 LOG = logging.getLogger(__name__)
 
 PREFIX = 'vms/'
-# A key stays this long after its process's last sign of life.
 LEASE_SECONDS = 6.0
-# Between two looks; a key that has gone is back within this and a call.
-LOOK_SECONDS = 1.5
-_FIRST_SECONDS = 0.1
-# Suspensions that are logged; clocks are read one after the other.
-NOTABLE_SECONDS = 0.1
-MOST_PORT = 65536
-# Entries that cannot be read whose revisions are remembered.
-MAX_SKIPPED = 1000
-# Of a reason that is logged, in characters.
-MAX_REASON = 200
+# A deleted key is written again after at most this and a call to the store.
+RENEWAL_INTERVAL_SECONDS = 1.5
+_RETRY_INTERVAL_SECONDS = 0.1
+# Above the error from reading two clocks one after the other.
+MIN_LOGGED_SUSPENSION_SECONDS = 0.1
+# One more than the highest port.
+PORT_LIMIT = 65536
+MAX_SKIPPED_REVISIONS = 1000
+MAX_REASON_CHARACTERS = 200
 
 
-class Register(base.VmList):
-    """The list of all VMs that are registered."""
+class Registry(base.VmList):
+    """The list of all registered VMs."""
 
     def __init__(self, kv):
-        """Take the store."""
+        """Create a reader of the registry in a ``store.Store``."""
         self._kv = kv
-        # The revisions of entries that could not be read, by key.
-        self._skipped = recent.Recent(MAX_SKIPPED)
+        # Revisions of unreadable entries by key, to log each of them once.
+        self._skipped_revisions = recent.Recent(MAX_SKIPPED_REVISIONS)
 
     def read(self):
         last = store.find_prefix_end(PREFIX)
@@ -62,37 +60,46 @@
         return result.Ok([vm for vm in found if vm is not None])
 
     def _read_vm(self, entry):
-        """Return the VM of an entry, or None if it cannot be read.
+        """Return the VM of an entry, or None if the entry is invalid.
 
-        Others can write there as well, and who is on the list is dialled.
+        Entries are validated because other programs can write to the store
+        and processes connect to every VM on the list.
         """
         try:
             vm = codec.unpack(data.Vm, entry.value)
             check_vm(entry.key, vm)
         except ValueError as exc:
-            metrics.SKIPPED.inc()
-            if self._skipped.get(entry.key) != entry.revision:
-                self._skipped.put(entry.key, entry.revision)
-                reason = f'{exc}'[:MAX_REASON]
+            metrics.SKIPPED_ENTRIES.inc()
+            if self._skipped_revisions.get(entry.key) != entry.revision:
+                self._skipped_revisions.put(entry.key, entry.revision)
+                reason = f'{exc}'[:MAX_REASON_CHARACTERS]
                 extra = logs.fields(vm=entry.key, reason=reason)
                 LOG.warning('registration skipped', extra=extra)
             return None
         return dataclasses.replace(vm, instance='')
 
 
-class Registration(Register):
-    """The list, and this VM kept on it; a context manager.
+class Registration(Registry):
+    """Keeps this VM registered while the context manager is open.
 
-    The key is left to its lease at the end, as most ends are restarts.
+    The key is not deleted on exit but expires with its lease, as most
+    processes that exit are restarted.
+
+    :ivar registered: an event that is set by the first registration
+    :ivar token: the fencing token, 0 before the first registration
     """
 
     def __init__(self, kv, vm):
-        """Take a ``store.LeaseStore`` and this process's VM."""
+        """Create the registration of a VM.
+
+        :param kv: a ``store.LeaseStore``
+        :param vm: the ``data.Vm`` of this process
+        """
         super().__init__(kv)
         self._vm = dataclasses.replace(vm, instance=ids.make_nonce())
         self._key = PREFIX + vm.name
         self._lease = 0
-        self._present = False
+        self._key_exists = False
         self._stop = threading.Event()
         self.registered = threading.Event()
         self.token = 0
@@ -108,15 +115,15 @@
         self._stop.set()
 
     def look(self):
-        """Renew the lease, and write the key anew if it has gone.
+        """Renew the lease, and write the key again if it was deleted.
 
-        :returns: whether the key is there
+        :returns: whether the VM is registered
         """
-        if self._present and self._is_kept():
+        if self._key_exists and self._is_kept():
             return True
-        if self._present:
+        if self._key_exists:
             LOG.warning('registration lost', extra=logs.fields(vm=self._key))
-        self._present = False
+        self._key_exists = False
         opened = self._kv.open_lease(LEASE_SECONDS)
         if opened.is_err():
             return False
@@ -124,17 +131,20 @@
         revision = self._write()
         if not revision:
             return False
-        self._present = True
+        self._key_exists = True
         self.token = self.token or revision
         self.registered.set()
-        LOG.info('registered', extra=logs.fields(vm=self._vm.name))
+        LOG.info('VM registered', extra=logs.fields(vm=self._vm.name))
         return True
 
     def _write(self):
-        """Write the key; returns the revision, or 0 if it may not be there.
+        """Write the key.
+
+        If the write is not answered, the key is read back. It counts as
+        written only if its value is from this start of the process, so that
+        the token of a previous start is never reused.
 
-        Without an answer the key is looked at. It counts only if this start
-        of the process wrote it: a former one's token is never used twice.
+        :returns: the revision, or 0 if the key may not have been written
         """
         written = self._kv.put(self._key, codec.pack(self._vm), self._lease)
         if written.is_ok():
@@ -143,50 +153,57 @@
         if found.is_err() or found.ok_value is None:
             return 0
         try:
-            there = codec.unpack(data.Vm, found.ok_value.value)
+            stored = codec.unpack(data.Vm, found.ok_value.value)
         except ValueError:
-            # Another wrote it over ours.
+            # Another program has overwritten the key.
             return 0
-        ours = there.instance == self._vm.instance
-        return found.ok_value.revision if ours else 0
+        is_own = stored.instance == self._vm.instance
+        return found.ok_value.revision if is_own else 0
 
     def _is_kept(self):
-        """Renew; tells whether lease and key are still there.
+        """Renew the lease and return whether lease and key still exist.
 
-        Without an answer both count as kept, until the store says more.
+        Both are assumed to exist while the store does not answer.
         """
-        kept = self._kv.keep_lease(self._lease)
-        if kept.is_err():
+        renewed = self._kv.keep_lease(self._lease)
+        if renewed.is_err():
             return True
-        if not kept.ok_value:
+        if not renewed.ok_value:
             return False
         found = self._kv.read(self._key)
         if found.is_err():
             return True
-        # What another has garbled is written anew.
+        # An invalid value counts as missing, so that it is replaced.
         entry = found.ok_value
         return entry is not None and self._read_vm(entry) is not None
 
     def _run(self):
-        wait = _FIRST_SECONDS
-        suspensions = clock.SuspensionMonitor()
+        wait_seconds = _RETRY_INTERVAL_SECONDS
+        monitor = clock.SuspensionMonitor()
         while not self._stop.is_set():
-            seconds = suspensions.take_suspended_seconds()
-            if seconds >= NOTABLE_SECONDS:
+            seconds = monitor.take_suspended_seconds()
+            if seconds >= MIN_LOGGED_SUSPENSION_SECONDS:
                 extra = logs.fields(took_ms=int(seconds * 1000))
-                LOG.warning('the machine was suspended', extra=extra)
-            wait = LOOK_SECONDS if self.look() else _FIRST_SECONDS
-            self._stop.wait(wait)
+                LOG.warning('machine was suspended', extra=extra)
+            wait_seconds = (
+                RENEWAL_INTERVAL_SECONDS
+                if self.look()
+                else _RETRY_INTERVAL_SECONDS
+            )
+            self._stop.wait(wait_seconds)
 
 
 def check_vm(key, vm):
-    """Check an entry of the register.
+    """Validate an entry of the registry.
 
-    :raises ValueError: it is of another VM, or cannot be dialled
+    :param key: the key of the entry
+    :param vm: the ``data.Vm`` that was read from its value
+    :raises ValueError: the key is not that of the VM, or the VM has an
+        invalid address, port or role
     """
     if key != PREFIX + vm.name:
-        raise ValueError(f'names {vm.name!r:.60}')
+        raise ValueError(f'key does not match the VM name {vm.name!r:.60}')
     ipaddress.ip_address(vm.address)
-    if not 0 < vm.port < MOST_PORT:
-        raise ValueError(f'port {vm.port}')
+    if not 0 < vm.port < PORT_LIMIT:
+        raise ValueError(f'port {vm.port} is not from 1 to 65535')
     data.Role(vm.role)
--- a/packages/vmlist/portwharf/vmlist/register_test.py
+++ b/packages/vmlist/portwharf/vmlist/register_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""VMs are registered for as long as they live, whatever the store does."""
+"""VMs stay registered while they run, in spite of faults of the store."""
 
 import dataclasses
 from unittest import mock
@@ -18,156 +18,156 @@
 
 
 def open_registration(case):
-    """Return a registration that is stepped by hand, and its store."""
-    standin = platform_store.PlatformStoreStandIn()
-    port = fixtures.serve(case, standin)
+    """Return a registration without its thread, its fake store and its VM."""
+    fake = platform_store.PlatformStoreStandIn()
+    port = fixtures.serve(case, fake)
     client = kv.PlatformStore(settings.Endpoint('127.0.0.1', port))
     case.enterContext(client)
     vm = fixtures.make_vm(3)
-    return vmlist.Registration(client, vm), standin, vm
+    return vmlist.Registration(client, vm), fake, vm
 
 
 def test_registered_vm_is_listed(case):
-    made, _, vm = open_registration(case)
-    case.assertEqual(made.read().ok_value, [])
-    case.assertTrue(made.look())
-    case.assertEqual(made.read().ok_value, [vm])
-
-
-def test_token_is_the_first_revision_and_stays(case):
-    made, standin, vm = open_registration(case)
-    made.look()
-    token = made.token
-    standin.end_leases()
-    case.assertTrue(made.look())
-    case.assertEqual(made.token, token)
-    other = vmlist.Registration(made._kv, vm)
+    registration, _, vm = open_registration(case)
+    case.assertEqual(registration.read().ok_value, [])
+    case.assertTrue(registration.look())
+    case.assertEqual(registration.read().ok_value, [vm])
+
+
+def test_token_is_the_first_revision_and_does_not_change(case):
+    registration, fake, vm = open_registration(case)
+    registration.look()
+    token = registration.token
+    fake.end_leases()
+    case.assertTrue(registration.look())
+    case.assertEqual(registration.token, token)
+    other = vmlist.Registration(registration._kv, vm)
     other.look()
     case.assertGreater(other.token, token)
 
 
-def test_revoked_key_comes_back(case):
-    made, standin, vm = open_registration(case)
-    made.look()
-    standin.revoke(f'vms/{vm.name}')
-    case.assertEqual(made.read().ok_value, [])
-    made.look()
-    case.assertEqual(made.read().ok_value, [vm])
+def test_revoked_key_is_written_again(case):
+    registration, fake, vm = open_registration(case)
+    registration.look()
+    fake.revoke(f'vms/{vm.name}')
+    case.assertEqual(registration.read().ok_value, [])
+    registration.look()
+    case.assertEqual(registration.read().ok_value, [vm])
 
 
-def test_outage_is_borne(case):
-    made, standin, vm = open_registration(case)
-    standin.faults.down = True
-    case.assertFalse(made.look())
-    case.assertFalse(made.registered.is_set())
-    standin.faults.down = False
-    case.assertTrue(made.look())
-    standin.faults.down = True
-    case.assertTrue(made.look())
-    case.assertTrue(made.read().is_err())
+def test_registration_survives_an_outage(case):
+    registration, fake, vm = open_registration(case)
+    fake.faults.down = True
+    case.assertFalse(registration.look())
+    case.assertFalse(registration.registered.is_set())
+    fake.faults.down = False
+    case.assertTrue(registration.look())
+    fake.faults.down = True
+    case.assertTrue(registration.look())
+    case.assertTrue(registration.read().is_err())
 
 
-def test_token_is_found_although_the_first_answer_was_lost(case):
-    made, standin, _ = open_registration(case)
-    standin.faults.lost = True
+def test_token_is_read_back_after_the_first_answer_was_lost(case):
+    registration, fake, _ = open_registration(case)
+    fake.faults.lost = True
     unread = result.Err(store.StoreError('lost'))
     with mock.patch.object(kv.PlatformStore, 'read', lambda *_: unread):
-        case.assertFalse(made.look())
-        case.assertEqual(made.token, 0)
-    standin.faults.lost = False
-    case.assertTrue(made.look())
-    case.assertGreater(made.token, 0)
-    case.assertTrue(made.registered.is_set())
+        case.assertFalse(registration.look())
+        case.assertEqual(registration.token, 0)
+    fake.faults.lost = False
+    case.assertTrue(registration.look())
+    case.assertGreater(registration.token, 0)
+    case.assertTrue(registration.registered.is_set())
 
 
-def test_token_is_found_although_no_writing_is_ever_answered(case):
-    """What users saw: a VM that was heard ran nothing, for long.
+def test_token_is_read_back_although_no_write_is_ever_answered(case):
+    """A VM that was heard from ran no tasks for a long time.
 
-    Its side had started again while most writings to the store were done
-    and not answered. It wrote its registration again and again, and without
-    the revision of one it has no token and may not look at its worker. The
-    log said ``no fencing token yet`` all the while; reads were answered.
+    Its side had restarted while the store carried out most writes without
+    answering them; reads were answered. The side wrote its registration
+    again and again. Without the revision of a write it had no token and
+    could not contact its worker; it kept logging ``no fencing token yet``.
     """
-    made, standin, vm = open_registration(case)
-    standin.faults.lost = True
-    case.assertTrue(made.look())
-    case.assertTrue(made.registered.is_set())
-    token = made.token
+    registration, fake, vm = open_registration(case)
+    fake.faults.lost = True
+    case.assertTrue(registration.look())
+    case.assertTrue(registration.registered.is_set())
+    token = registration.token
     case.assertGreater(token, 0)
-    other = vmlist.Registration(made._kv, vm)
+    other = vmlist.Registration(registration._kv, vm)
     case.assertTrue(other.look())
     case.assertGreater(other.token, token)
 
 
-def test_writing_that_did_not_arrive_gives_no_token(case):
-    """The key that is there is a former life's then."""
-    made, _, vm = open_registration(case)
-    made.look()
-    other = vmlist.Registration(made._kv, vm)
+def test_lost_write_gives_no_token(case):
+    """The existing key is that of the previous start of the process."""
+    registration, _, vm = open_registration(case)
+    registration.look()
+    other = vmlist.Registration(registration._kv, vm)
     lost = result.Err(store.StoreError('lost', True))
     with mock.patch.object(kv.PlatformStore, 'put', lambda *_: lost):
         case.assertFalse(other.look())
     case.assertEqual(other.token, 0)
     case.assertTrue(other.look())
-    case.assertGreater(other.token, made.token)
+    case.assertGreater(other.token, registration.token)
 
 
 def test_token_is_never_that_of_a_former_life(case):
-    made, standin, vm = open_registration(case)
-    made.look()
-    other = vmlist.Registration(made._kv, vm)
-    # As after a writing that got no answer and did not arrive.
+    registration, fake, vm = open_registration(case)
+    registration.look()
+    other = vmlist.Registration(registration._kv, vm)
+    # As after a write that was lost on its way to the store.
     other._lease = other._kv.open_lease(5).ok_value
     case.assertTrue(other.look())
-    case.assertGreater(other.token, made.token)
+    case.assertGreater(other.token, registration.token)
 
 
-def test_start_of_the_process_is_not_part_of_the_list(case):
-    """It would count as a change of the member list with each restart."""
-    made, _, vm = open_registration(case)
-    made.look()
-    vmlist.Registration(made._kv, vm).look()
-    case.assertEqual(made.read().ok_value, [vm])
+def test_instance_is_not_part_of_the_list(case):
+    """Otherwise every restart would be a change of the member list."""
+    registration, _, vm = open_registration(case)
+    registration.look()
+    vmlist.Registration(registration._kv, vm).look()
+    case.assertEqual(registration.read().ok_value, [vm])
 
 
-def test_entry_that_another_has_garbled_is_skipped_and_written_anew(case):
-    made, standin, vm = open_registration(case)
-    made.look()
+def test_corrupt_entry_is_skipped_and_the_own_one_written_again(case):
+    registration, fake, vm = open_registration(case)
+    registration.look()
     other = fixtures.make_vm(4)
-    client = made._kv
+    client = registration._kv
     client.put(f'vms/{other.name}', codec.pack(other), 0)
-    strange = {
+    corrupt = {
         'vms/not-msgpack': b'\xc1\xff',
         'vms/a-list': msgpack.packb([1]),
         'vms/typed': msgpack.packb({'name': 'typed', 'port': 'x'}),
         'vms/other-name': codec.pack(other),
         f'vms/{vm.name}': b'',
     }
-    for key, raw in strange.items():
+    for key, raw in corrupt.items():
         client.put(key, raw, 0)
-    case.assertEqual(made.read().ok_value, [other])
-    case.assertTrue(made.look())
-    case.assertEqual(made.read().ok_value, [vm, other])
+    case.assertEqual(registration.read().ok_value, [other])
+    case.assertTrue(registration.look())
+    case.assertEqual(registration.read().ok_value, [vm, other])
 
 
-def test_entry_that_cannot_be_dialled_is_skipped(case):
-    made, _, _ = open_registration(case)
-    odd = (
+def test_entry_with_invalid_fields_is_skipped(case):
+    registration, _, _ = open_registration(case)
+    invalid = (
         {'port': 0},
         {'port': 70_000},
         {'address': 'a.example'},
         {'role': 'pilot'},
     )
-    for fields in odd:
+    for fields in invalid:
         vm = dataclasses.replace(fixtures.make_vm(5), **fields)
-        made._kv.put(f'vms/{vm.name}', codec.pack(vm), 0)
-        case.assertEqual(made.read().ok_value, [])
+        registration._kv.put(f'vms/{vm.name}', codec.pack(vm), 0)
+        case.assertEqual(registration.read().ok_value, [])
 
 
 def test_skipped_entry_is_logged_once(case):
-    made, _, _ = open_registration(case)
-    made._kv.put('vms/garbled', b'\xc1', 0)
+    registration, _, _ = open_registration(case)
+    registration._kv.put('vms/garbled', b'\xc1', 0)
     with case.assertLogs('portwharf.vmlist.register') as logged:
-        made.read()
-        made.read()
+        registration.read()
+        registration.read()
     case.assertEqual(len(logged.output), 1)
