--- a/packages/workers/portwharf/workers/__init__.py
+++ b/packages/workers/portwharf/workers/__init__.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The worker of a VM, behind an abstract class."""
+"""Access to the worker of a VM."""
 
 from portwharf.workers.base import Attempt
 from portwharf.workers.base import Listing
--- a/packages/workers/portwharf/workers/base.py
+++ b/packages/workers/portwharf/workers/base.py
@@ -1,11 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side process needs of the worker on its VM.
+"""Interface of the worker that runs tasks on a VM, used by the side process.
 
-A worker runs tasks under leases: an exclusive task whose lease is not
-renewed in time is stopped by the worker itself. It reports usage with a
-lag, and it can checkpoint, throttle or stop a task. Starting an attempt
-that it has been told of before changes nothing.
+A worker runs exclusive tasks under leases and stops those whose lease is
+not renewed in time. It can checkpoint, throttle and stop tasks, and reports
+their usage with a delay. Starting an attempt is idempotent.
 """
 
 import abc
@@ -13,7 +12,8 @@
 
 from portwharf.core import data
 
-# Reasons of a refusal that say nothing against the worker.
+# Reasons for a refusal. Those in SOUND_REFUSALS do not count as a failure of
+# the worker.
 REFUSED_ROOM = 'no-room-at-the-worker'
 REFUSED_LATE = 'lease-over-at-the-worker'
 REFUSED_FENCE = 'newer-side-at-the-worker'
@@ -32,21 +32,21 @@
         REFUSED_UNREACHED,
     )
 )
-# The attempt, or a later one, ended or was stopped there before.
+# This attempt or a later one has already ended or been stopped there.
 REFUSED_OLD = 'attempt-is-over-at-the-worker'
 
 
 @dataclasses.dataclass(slots=True)
 class Start:
-    """What a worker is told to run.
-
-    :param kind: one of ``data.Kind``; the worker lists it again
-    :param workload: "team/name"; the worker lists it again
-    :param lease_until_ms: when it ends without a renewal, on the worker's
-        clock; 0: no lease. If that time is past it is not begun.
-    :param ticket: what the policy gave for this worker, or ''
-    :param life: of which life the listing was that the lease was reckoned
-        by; no other one begins the attempt
+    """A request to start an attempt.
+
+    :param kind: one of ``data.Kind``; repeated in the worker's listing
+    :param workload: "team/name"; repeated in the worker's listing
+    :param lease_until_ms: the end of the lease on the worker's clock, 0 for
+        no lease; the worker refuses the start after that time
+    :param ticket: the ticket that the policy issued for this worker, or ''
+    :param life: the incarnation of the worker whose clock the lease refers
+        to; any other incarnation refuses the start
     """
 
     task: str = ''
@@ -66,14 +66,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """What a worker knows of an attempt.
+    """An attempt in a worker's listing.
 
     :param state: one of ``data.RunState``
-    :param used_cpu_milli: processors used lately, in thousandths
-    :param measured_ms: how long ago the usage was measured
-    :param percent: how much of its work is done; 100 for a lasting task
-        that is at work
-    :param tail_ms: of a task with a target, the tail of its answers' times
+    :param lease_until_ms: the end of the lease on the worker's clock, or 0
+    :param used_cpu_milli: processors used recently, in thousandths
+    :param measured_ms: age of the usage measurement
+    :param percent: progress; 100 for a long-running task that is at work
+    :param tail_ms: tail latency of the answers of a task with a target
     """
 
     task: str = ''
@@ -97,16 +97,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Listing:
-    """All that a worker knows.
+    """The state of a worker and its attempts.
 
     :param now_ms: the worker's clock when it answered
-    :param capacity: what the worker can hold
+    :param capacity: the resources of the worker
     :param pool: the pool that the worker belongs to, or ''
-    :param draining: the worker takes no more starts and will leave
-    :param leaves_in_ms: of a draining worker, how long it stays at least
-    :param absent: no worker is there, so that nothing runs
-    :param life: which life of the worker answered
-    :param rack: the rack that it stands in, or ''
+    :param draining: the worker accepts no more starts and will leave
+    :param leaves_in_ms: minimum time that a draining worker still stays
+    :param absent: there is no worker, so no task is running
+    :param life: the incarnation of the worker that answered
+    :param rack: the rack of the worker, or ''
     """
 
     now_ms: int = 0
@@ -124,49 +124,54 @@
 
 
 class Worker(abc.ABC):
-    """The worker of one VM. Each call gives Ok(...) or Err(text)."""
+    """The worker of one VM. Calls return Ok(...) or Err(text)."""
 
     @abc.abstractmethod
     def read_listing(self):
-        """Read what the worker knows.
+        """Read the state of the worker and its attempts.
 
-        :returns: Ok(Listing); one with ``absent`` set when nothing is there
+        :returns: Ok(Listing), with ``absent`` set if there is no worker
             that could run a task
         """
 
     @abc.abstractmethod
     def start(self, start):
-        """Begin an attempt.
+        """Start an attempt.
 
-        :returns: Ok(''), or Ok(reason) if it was refused and not run; by
-            Err, it may run, now or later
+        :param start: a :class:`Start`
+        :returns: Ok(''), or Ok(reason) if it was refused and has not run;
+            after an Err the attempt may run, now or later
         """
 
     def recall(self, start):
-        """Take what an attempt was started with, maybe by a former side.
+        """Restore the :class:`Start` of an attempt.
 
-        For a worker whose listing does not tell it.
+        For workers whose listing does not contain it. The attempt may have
+        been started by a previous side process.
         """
         return None
 
     def follow(self, on_change):
-        """Have a function called when an attempt has ended.
+        """Register a function to be called when an attempt has ended.
 
-        A worker that cannot tell never calls it; it is polled besides.
+        A worker without notifications never calls it. The caller polls the
+        listing in any case.
         """
         return None
 
     @abc.abstractmethod
     def stop(self, task, attempt, checkpoint):
-        """Ask for an attempt's end; its state tells when it has ended.
+        """Request an attempt to stop; its state shows when it has ended.
 
+        :param checkpoint: whether to save a checkpoint first
         :returns: Ok(None)
         """
 
     @abc.abstractmethod
     def throttle(self, task, attempt, percent):
-        """Let an attempt use only part of its processors.
+        """Limit an attempt to a part of its processors.
 
+        :param percent: the part that it may use
         :returns: Ok(None)
         """
 
@@ -174,16 +179,17 @@
     def renew(self, until_ms):
         """Renew the leases of all attempts that have one.
 
-        The end of a lease is a time on the worker's clock and not a span,
-        so that a renewal which is held up on its way does not last longer
-        than it was meant to. An earlier end than before changes nothing.
+        The end is a time on the worker's clock rather than a duration, so
+        that a delayed renewal does not extend the leases for longer than
+        intended. A renewal never shortens a lease.
 
+        :param until_ms: the new end on the worker's clock
         :returns: Ok(None)
         """
 
     @abc.abstractmethod
     def forget(self, task, attempt):
-        """Drop an ended attempt from the listing.
+        """Remove an ended attempt from the listing.
 
         :returns: Ok(None)
         """
--- a/packages/workers/portwharf/workers/http.py
+++ b/packages/workers/portwharf/workers/http.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A worker over HTTP with JSON bodies, on the side's own VM.
+"""Client of a worker on the same VM, over HTTP with JSON bodies.
 
-Bytes travel as base64 text. ``POST /tasks`` starts, ``/tasks/stop``,
-``/tasks/throttle`` and ``/tasks/forget`` name an attempt, ``/leases``
-renews, ``GET /tasks`` lists.
+``POST /tasks`` starts an attempt; ``POST /tasks/stop``, ``/tasks/throttle``
+and ``/tasks/forget`` act on an attempt; ``POST /leases`` renews the leases;
+``GET /tasks`` lists the attempts. Bytes are encoded as base64.
 """
 
 import base64
@@ -16,17 +16,21 @@
 from portwharf.core import codec
 from portwharf.workers import base
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 REFUSED_STATUS = 409
 
 
 class HttpWorker(base.Worker):
-    """A client of a worker; a context manager that closes it."""
+    """A client of a worker, which the context manager closes."""
 
     def __init__(self, address, port):
-        """Take the worker's IP number and port."""
+        """Create a client of the worker at an IP address and port."""
         self._pool = urllib3.HTTPConnectionPool(
-            address, port, maxsize=2, retries=False, timeout=CALL_SECONDS
+            address,
+            port,
+            maxsize=2,
+            retries=False,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
 
     def __enter__(self):
@@ -45,24 +49,28 @@
         return answer.map(lambda value: value.get('refused', ''))
 
     def stop(self, task, attempt, checkpoint):
-        return self._name('/tasks/stop', task, attempt, checkpoint=checkpoint)
+        return self._post('/tasks/stop', task, attempt, checkpoint=checkpoint)
 
     def throttle(self, task, attempt, percent):
-        return self._name('/tasks/throttle', task, attempt, percent=percent)
+        return self._post('/tasks/throttle', task, attempt, percent=percent)
 
     def renew(self, until_ms):
         body = {'until_ms': until_ms}
         return self._call('POST', '/leases', body).map(lambda _: None)
 
     def forget(self, task, attempt):
-        return self._name('/tasks/forget', task, attempt)
+        return self._post('/tasks/forget', task, attempt)
 
-    def _name(self, path, task, attempt, **more):
-        body = {'task': task, 'attempt': attempt, **more}
+    def _post(self, path, task, attempt, **fields):
+        """Post a request about an attempt."""
+        body = {'task': task, 'attempt': attempt, **fields}
         return self._call('POST', path, body).map(lambda _: None)
 
     def _call(self, method, path, body=None):
-        """Make one call; a refusal counts as an answer."""
+        """Make one call.
+
+        :returns: Ok(map), also for a refusal, or Err(text)
+        """
         raw = None if body is None else json.dumps(body)
         try:
             response = self._pool.request(method, path, body=raw)
@@ -80,4 +88,4 @@
             attempt['result'] = base64.b64decode(attempt.get('result', ''))
         return result.Ok(codec.from_map(base.Listing, value))
     except (TypeError, ValueError, AttributeError) as exc:
-        return result.Err(f'not a listing: {exc}')
+        return result.Err(f'invalid worker listing: {exc}')
--- a/packages/workers/portwharf/workers/http_test.py
+++ b/packages/workers/portwharf/workers/http_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The worker adapter against the stand-in worker."""
+"""The client of a worker against a fake worker."""
 
 import threading
 import time
@@ -12,27 +12,28 @@
 from portwharf import workers
 
 CAPACITY = data.Resources(4000, 8000, 1)
+# Never set; its ``wait`` separates two polls.
 POLL = threading.Event()
 
 
 def open_worker(case):
-    """Return the adapter and the stand-in."""
-    standin = worker.WorkerStandIn(CAPACITY)
-    case.addCleanup(standin.close)
-    port = fixtures.serve(case, standin)
+    """Return a client and the fake worker that it is connected to."""
+    fake = worker.WorkerStandIn(CAPACITY)
+    case.addCleanup(fake.close)
+    port = fixtures.serve(case, fake)
     client = case.enterContext(workers.HttpWorker('127.0.0.1', port))
-    return client, standin
+    return client, fake
 
 
 def make_start(**fields):
-    """Return the start of a short task."""
+    """Return the start of a short task, with some fields replaced."""
     values = {'task': 'w.3', 'attempt': 1, 'program': 'plan'}
     values |= {'argument': b'20 0.001', 'resources': data.Resources(1000, 1)}
     return workers.Start(**{**values, **fields})
 
 
 def wait_for_end(client):
-    """Return the first attempt once it does not run any longer."""
+    """Wait until the only attempt has ended and return it."""
     while True:
         (attempt,) = client.read_listing().ok_value.attempts
         if attempt.state != data.RunState.RUNNING:
@@ -45,39 +46,39 @@
     case.assertEqual(client.start(make_start()).ok_value, '')
     attempt = wait_for_end(client)
     case.assertEqual(attempt.state, data.RunState.SUCCEEDED)
-    right = str(programs.compute_task(3, 20)).encode()
-    case.assertEqual(attempt.result, right)
+    expected = str(programs.compute_task(3, 20)).encode()
+    case.assertEqual(attempt.result, expected)
 
 
-def test_same_attempt_starts_once(case):
-    client, standin = open_worker(case)
+def test_repeated_start_runs_the_attempt_once(case):
+    client, fake = open_worker(case)
     client.start(make_start())
     client.start(make_start())
-    case.assertEqual(len(standin.spans), 1)
+    case.assertEqual(len(fake.spans), 1)
 
 
-def test_checkpoint_resumes_to_the_same_result(case):
+def test_resumed_task_computes_the_same_result(case):
     client, _ = open_worker(case)
     client.start(make_start(argument=b'40 0.02'))
     client.stop('w.3', 1, True)
     stopped = wait_for_end(client)
     case.assertEqual(stopped.state, data.RunState.CHECKPOINTED)
     client.forget('w.3', 1)
-    again = make_start(attempt=2, checkpoint=stopped.checkpoint)
-    again.argument = b'40 0.001'
-    client.start(again)
-    right = str(programs.compute_task(3, 40)).encode()
-    case.assertEqual(wait_for_end(client).result, right)
+    resumed = make_start(attempt=2, checkpoint=stopped.checkpoint)
+    resumed.argument = b'40 0.001'
+    client.start(resumed)
+    expected = str(programs.compute_task(3, 40)).encode()
+    case.assertEqual(wait_for_end(client).result, expected)
 
 
-def test_lease_that_is_not_renewed_ends_the_task(case):
+def test_task_is_stopped_when_its_lease_expires(case):
     client, _ = open_worker(case)
     until = client.read_listing().ok_value.now_ms + 100
     client.start(make_start(argument=b'9999 0.01', lease_until_ms=until))
     case.assertEqual(wait_for_end(client).state, data.RunState.GONE)
 
 
-def test_renewal_that_comes_late_does_not_revive(case):
+def test_late_renewal_does_not_restart_a_stopped_task(case):
     client, _ = open_worker(case)
     until = client.read_listing().ok_value.now_ms + 50
     client.start(make_start(argument=b'9999 0.01', lease_until_ms=until))
@@ -86,14 +87,14 @@
     case.assertEqual(wait_for_end(client).state, data.RunState.GONE)
 
 
-def test_start_after_its_lease_is_refused(case):
-    client, standin = open_worker(case)
+def test_start_with_an_expired_lease_is_refused(case):
+    client, fake = open_worker(case)
     past = int(time.monotonic() * 1000) - 1
     case.assertTrue(client.start(make_start(lease_until_ms=past)).ok_value)
-    case.assertEqual(standin.spans, [])
+    case.assertEqual(fake.spans, [])
 
 
-def test_failing_program_says_why(case):
+def test_failed_attempt_has_a_reason(case):
     client, _ = open_worker(case)
     client.start(make_start(program='fail'))
     attempt = wait_for_end(client)
@@ -101,7 +102,7 @@
     case.assertIn('failed', attempt.reason)
 
 
-def test_listing_tells_capacity_and_size(case):
+def test_listing_contains_capacity_and_resources(case):
     client, _ = open_worker(case)
     client.start(make_start(kind=data.Kind.SERVICE, workload='lens/fit'))
     listing = client.read_listing().ok_value
@@ -110,6 +111,6 @@
     case.assertEqual(listing.attempts[0].resources.cpu_milli, 1000)
 
 
-def test_no_worker_is_told(case):
+def test_unreachable_worker_is_an_error(case):
     client = case.enterContext(workers.HttpWorker('127.0.0.1', 1))
     case.assertTrue(client.read_listing().is_err())
--- a/packages/workers/portwharf/workers/lives.py
+++ b/packages/workers/portwharf/workers/lives.py
@@ -1,14 +1,14 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Which life of a worker stands at its address, by what it says of itself.
-
-What a worker says may be held up on its way, also past its end: then it
-comes after the next life has begun at the same address, or is the first that
-a restarted side hears. Ids and births tell lives apart and not which is the
-later one, so that only the worker at the address settles it: a life that is
-heard of for the first time stays a candidate until it has answered itself.
-Believing a dead life would have its successor's work counted as gone while
-it runs.
+"""Tracks which incarnation of a worker is running at its address.
+
+A worker's heartbeats may be delayed beyond its end. They then arrive after
+the next incarnation has started at the same address, or are the first that a
+restarted side process receives. Instance ids and start times distinguish
+incarnations but do not order them, so only the worker at the address can
+decide which is current: a new incarnation remains a candidate until it has
+answered a call itself. If a dead incarnation were taken as current, running
+tasks of its successor would be reported as gone.
 """
 
 import dataclasses
@@ -19,12 +19,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Life:
-    """What a worker has said of itself.
+    """An incarnation of a worker, as described by its last heartbeat.
 
     :param id: the ``data.LifeId``
-    :param seq: rises with everything that one life says; 0 if it is not told
-    :param described: it has said the rest; before that nothing may begin
-        there, as a new life may be of another kind and size
+    :param seq: the sequence number of the heartbeat within the incarnation,
+        0 if it has none
+    :param leaves_in_ms: minimum time that a draining worker still stays
+    :param described: whether a heartbeat has set the other fields. Until
+        then no attempt may be started, as a new incarnation may have another
+        pool and capacity.
     """
 
     id: data.LifeId = data.LifeId()
@@ -42,10 +45,13 @@
 
 
 class Lives:
-    """The life in use and a candidate; the caller's lock guards both.
+    """The current incarnation of a worker and a candidate for it.
 
-    :ivar current: the life that the worker has answered to last
-    :ivar candidate: one that was heard of and is not settled, or None
+    Not thread-safe; the caller has to hold a lock.
+
+    :ivar current: the :class:`Life` that answered last
+    :ivar candidate: a :class:`Life` that has sent a heartbeat but has not
+        answered yet, or None
     """
 
     __slots__ = ('current', 'candidate')
@@ -55,29 +61,32 @@
         self.candidate = None
 
     def offer(self, life):
-        """Take what a life says of itself.
+        """Record a heartbeat.
 
-        :returns: whether the worker has to be looked at for it
+        :param life: the :class:`Life` that it describes
+        :returns: whether the caller has to read the worker's listing
         """
         if life.id == self.current.id:
             return self._update(life)
-        known = self.candidate
-        if known is None or not _is_late(known, life):
+        candidate = self.candidate
+        if candidate is None or not _is_outdated(candidate, life):
             self.candidate = life
         return True
 
     def list_instances(self):
-        """Return the ids that the worker may answer to, likeliest first."""
-        known = [self.candidate] if self.candidate is not None else []
-        known.append(self.current)
-        return list(dict.fromkeys(one.id.instance for one in known))
+        """Return the instance ids that may be in use, most likely first."""
+        lives = [self.candidate] if self.candidate is not None else []
+        lives.append(self.current)
+        return list(dict.fromkeys(life.id.instance for life in lives))
 
     def settle(self, life_id):
-        """Take it that a life is there, as it has answered.
+        """Record that an incarnation has answered, which makes it current.
 
-        What the former life ran, listed and counted is gone.
+        The attempts, listing and sequence numbers of the previous
+        incarnation are no longer valid.
 
-        :returns: whether it is another one than before
+        :param life_id: the ``data.LifeId``
+        :returns: whether the current incarnation has changed
         """
         if life_id == self.current.id:
             return False
@@ -89,15 +98,19 @@
         return True
 
     def refute(self, life):
-        """Drop a candidate: another life has answered since it was heard."""
+        """Drop a candidate because another incarnation answered after it.
+
+        :param life: the :class:`Life` that was the candidate; ignored if
+            another one has become the candidate since
+        """
         if self.candidate is life:
             self.candidate = None
 
     def check_start(self):
-        """Return why nothing may be started, or ''.
+        """Return the reason for which starts must be refused, or ''.
 
-        What the worker said last counts, which a listing may not show yet:
-        one that leaves has been told that this was heard.
+        The last heartbeat counts even if the listing does not show it yet,
+        because a draining worker was told that its heartbeat was received.
         """
         if not (self.current.id.instance and self.current.described):
             return base.REFUSED_UNHEARD
@@ -106,19 +119,19 @@
         return ''
 
     def _update(self, life):
-        former = self.current
-        if _is_late(former, life):
+        previous = self.current
+        if _is_outdated(previous, life):
             return False
         self.current = life
-        return _pick_urgent(former) != _pick_urgent(life)
+        return _get_placement_fields(previous) != _get_placement_fields(life)
 
 
-def _pick_urgent(life):
-    """Return what a side has to act on at once: where and what may run."""
+def _get_placement_fields(life):
+    """Return the fields whose change affects which tasks may run."""
     return life.described, life.draining, life.pool, life.capacity
 
 
-def _is_late(known, life):
-    """Tell whether a life said something before what is known of it."""
-    same = known.id == life.id
-    return same and 0 < life.seq <= known.seq
+def _is_outdated(known, life):
+    """Return whether a heartbeat is not newer than the known one."""
+    is_same = known.id == life.id
+    return is_same and 0 < life.seq <= known.seq
--- a/packages/workers/portwharf/workers/lives_test.py
+++ b/packages/workers/portwharf/workers/lives_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Only the worker at the address settles which life is there."""
+"""Only an answer of the worker decides which incarnation is current."""
 
 from portwharf.core import data
 from portwharf import workers
@@ -8,19 +8,19 @@
 FIRST = data.LifeId('i-1', 100)
 SECOND = data.LifeId('i-2', 200)
 OTHER = data.LifeId('i-0', 50)
-# Begun again under the id of the first; its machine's time was set back.
-REBORN = data.LifeId('i-1', 90)
+# Restarted under the id of FIRST after its clock was set back.
+RESTARTED = data.LifeId('i-1', 90)
 
 
 def make_lives():
-    """Return lives of which the first is the one in use."""
+    """Return lives whose current incarnation is FIRST."""
     lives = workers.Lives()
     lives.offer(workers.Life(FIRST, 'pool', seq=1))
     lives.settle(FIRST)
     return lives
 
 
-def test_life_that_is_heard_is_not_in_use_before_it_has_answered(case):
+def test_new_incarnation_is_not_current_before_it_has_answered(case):
     lives = make_lives()
     case.assertTrue(lives.offer(workers.Life(SECOND)))
     case.assertEqual(lives.current.id, FIRST)
@@ -29,7 +29,7 @@
     case.assertIsNone(lives.candidate)
 
 
-def test_refuted_life_is_a_candidate_again_if_it_is_heard_again(case):
+def test_refuted_incarnation_is_a_candidate_again_after_a_heartbeat(case):
     lives = make_lives()
     lives.offer(workers.Life(OTHER))
     lives.refute(lives.candidate)
@@ -38,17 +38,17 @@
     case.assertEqual(lives.candidate.id, OTHER)
 
 
-def test_answer_about_another_candidate_settles_nothing(case):
+def test_refuting_a_previous_candidate_keeps_the_present_one(case):
     lives = make_lives()
-    former = workers.Life(SECOND)
+    previous = workers.Life(SECOND)
     lives.offer(workers.Life(OTHER))
-    lives.refute(former)
+    lives.refute(previous)
     case.assertFalse(lives.settle(FIRST))
     case.assertEqual(lives.current.id, FIRST)
     case.assertEqual(lives.candidate.id, OTHER)
 
 
-def test_what_is_late_changes_neither_life(case):
+def test_outdated_heartbeat_changes_neither_incarnation(case):
     lives = make_lives()
     lives.offer(workers.Life(FIRST, draining=True, seq=3))
     case.assertFalse(lives.offer(workers.Life(FIRST, seq=2)))
@@ -58,7 +58,7 @@
     case.assertTrue(lives.candidate.draining)
 
 
-def test_life_without_numbers_is_believed_as_it_comes(case):
+def test_heartbeats_without_sequence_numbers_apply_in_order(case):
     lives = workers.Lives()
     lives.offer(workers.Life(FIRST))
     lives.settle(FIRST)
@@ -66,7 +66,7 @@
     case.assertTrue(lives.current.draining)
 
 
-def test_only_news_have_the_worker_looked_at(case):
+def test_listing_is_read_only_after_a_relevant_change(case):
     lives = make_lives()
     case.assertFalse(lives.offer(workers.Life(FIRST, 'pool', seq=2)))
     case.assertTrue(lives.offer(workers.Life(FIRST, 'other', seq=3)))
@@ -75,7 +75,7 @@
     )
 
 
-def test_nothing_is_started_before_a_life_is_in_use_or_while_it_leaves(case):
+def test_starts_are_refused_before_an_answer_and_while_draining(case):
     lives = workers.Lives()
     lives.offer(workers.Life(FIRST))
     case.assertEqual(lives.check_start(), workers.REFUSED_UNHEARD)
@@ -85,28 +85,28 @@
     case.assertEqual(lives.check_start(), workers.REFUSED_LEAVING)
 
 
-def test_life_under_the_same_id_is_another_one(case):
+def test_restart_under_the_same_instance_id_is_a_new_incarnation(case):
     lives = make_lives()
     lives.offer(workers.Life(FIRST, draining=True, seq=70))
-    case.assertTrue(lives.offer(workers.Life(REBORN, seq=1)))
-    case.assertTrue(lives.settle(REBORN))
+    case.assertTrue(lives.offer(workers.Life(RESTARTED, seq=1)))
+    case.assertTrue(lives.settle(RESTARTED))
     case.assertFalse(lives.current.draining)
     case.assertTrue(lives.offer(workers.Life(FIRST, draining=True, seq=71)))
-    case.assertEqual(lives.current.id, REBORN)
+    case.assertEqual(lives.current.id, RESTARTED)
 
 
-def test_life_that_has_answered_and_said_nothing_else_begins_nothing(case):
+def test_starts_are_refused_after_an_answer_without_a_heartbeat(case):
     lives = make_lives()
-    case.assertTrue(lives.settle(REBORN))
+    case.assertTrue(lives.settle(RESTARTED))
     case.assertEqual(lives.check_start(), workers.REFUSED_UNHEARD)
-    case.assertTrue(lives.offer(workers.Life(REBORN, seq=1)))
+    case.assertTrue(lives.offer(workers.Life(RESTARTED, seq=1)))
     case.assertEqual(lives.check_start(), '')
 
 
-def test_worker_is_asked_for_by_each_id_that_it_may_have(case):
+def test_all_possible_instance_ids_are_listed(case):
     case.assertEqual(workers.Lives().list_instances(), [''])
     lives = make_lives()
-    lives.offer(workers.Life(REBORN))
+    lives.offer(workers.Life(RESTARTED))
     case.assertEqual(lives.list_instances(), ['i-1'])
     lives.offer(workers.Life(SECOND))
     case.assertEqual(lives.list_instances(), ['i-2', 'i-1'])
