--- a/packages/endpoints/portwharf/endpoints/__init__.py
+++ b/packages/endpoints/portwharf/endpoints/__init__.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The endpoint (runner) of a VM, behind an abstract class."""
+"""Access to the endpoint (runner) of a VM."""
 
 from portwharf.endpoints.base import Runner
 from portwharf.endpoints.base import RunnerAnswer
--- a/packages/endpoints/portwharf/endpoints/base.py
+++ b/packages/endpoints/portwharf/endpoints/base.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side process needs of the endpoint (runner) on its VM."""
+"""Interface of the endpoint (runner) on a VM, used by the side process."""
 
 import abc
 import dataclasses
@@ -8,12 +8,13 @@
 
 @dataclasses.dataclass(slots=True)
 class RunnerAnswer:
-    """What a runner gave.
+    """The outcome of a request to a runner.
 
-    :param ran: the runner may have begun the request; False is proof that
-        it has not
-    :param whole: ``payload`` is the whole answer
-    :param reason: why there is no whole answer, or ''
+    :param ran: whether the runner may have started the request; False
+        guarantees that it has not
+    :param whole: whether ``payload`` is a complete answer
+    :param failed: whether the request ran and failed
+    :param reason: why there is no complete successful answer, or ''
     """
 
     ran: bool = True
@@ -28,8 +29,11 @@
 
     @abc.abstractmethod
     def run(self, request, service, payload, timeout):
-        """Run one request, once.
+        """Send one request, without retries.
 
-        :param timeout: seconds until nobody waits for the answer
+        :param request: the id of the request
+        :param service: the service, as "team/name"
+        :param payload: the body, in bytes
+        :param timeout: in seconds
         :returns: a :class:`RunnerAnswer`
         """
--- a/packages/endpoints/portwharf/endpoints/http.py
+++ b/packages/endpoints/portwharf/endpoints/http.py
@@ -1,26 +1,29 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A runner over HTTP: ``POST /run/<service>`` with the payload as body.
+"""Client of a runner over HTTP: ``POST /run/<service>`` with the payload.
 
-Status 200 is an answer, 503 and 429 say that the runner has not begun the
-request, any other status that it ran and failed. The runner declares the
-answer's length, and sends back the request's id, which must be ours.
+Status 200 is an answer, 429 and 503 mean that the runner has not started the
+request, and any other status that it ran and failed. The runner has to send
+the length of the answer and to repeat the id of the request.
 """
 
 import urllib3
 
 from portwharf.endpoints import base
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 ID_HEADER = 'X-Request-Id'
-_NOT_BEGUN = (429, 503)
+_NOT_STARTED_STATUSES = (429, 503)
 
 
 class HttpRunner(base.Runner):
-    """A client of a runner; a context manager that closes it."""
+    """A client of a runner, which the context manager closes."""
 
     def __init__(self, address, port, connections):
-        """Take the runner's IP number, port and connection limit."""
+        """Create a client of the runner at an IP address and port.
+
+        :param connections: the most connections; further calls wait
+        """
         self._pool = urllib3.HTTPConnectionPool(
             address, port, maxsize=connections, retries=False, block=True
         )
@@ -38,20 +41,22 @@
                 f'/run/{service}',
                 body=payload,
                 headers={ID_HEADER: request},
-                timeout=urllib3.Timeout(connect=CONNECT_SECONDS, read=timeout),
+                timeout=urllib3.Timeout(
+                    connect=CONNECT_TIMEOUT_SECONDS, read=timeout
+                ),
             )
         except (
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as exc:
-            return base.RunnerAnswer(ran=False, reason=_name(exc))
+            return base.RunnerAnswer(ran=False, reason=_get_class_name(exc))
         except urllib3.exceptions.HTTPError as exc:
-            return base.RunnerAnswer(reason=_name(exc))
+            return base.RunnerAnswer(reason=_get_class_name(exc))
         return _read_response(response, request)
 
 
 def _read_response(response, request):
-    if response.status in _NOT_BEGUN:
+    if response.status in _NOT_STARTED_STATUSES:
         return base.RunnerAnswer(ran=False, reason='runner-busy')
     if response.headers.get(ID_HEADER) != request:
         return base.RunnerAnswer(reason='answer-of-another-request')
@@ -65,5 +70,5 @@
     return base.RunnerAnswer(whole=True, payload=response.data)
 
 
-def _name(exc):
+def _get_class_name(exc):
     return type(exc).__name__
