--- a/packages/operators/portwharf/operators/__init__.py
+++ b/packages/operators/portwharf/operators/__init__.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Operators: their calls, and a client of these."""
+"""The operators' API: its service and a client."""
 
 from portwharf.operators.client import Client
 from portwharf.operators.client import RpcError
--- a/packages/operators/portwharf/operators/client.py
+++ b/packages/operators/portwharf/operators/client.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A client of portwharf's calls: the Connect protocol over ``urllib3``.
+"""A client of portwharf's API: the Connect protocol over ``urllib3``.
 
-Used by the command line; unary calls in binary need no more than a POST.
-Several entries may be given: one that cannot be reached is passed over,
-which is safe because nothing was sent to it.
+The command line uses it. A unary call in the binary encoding is a single
+POST. With several entries, one that cannot be connected to is skipped, which
+is safe because nothing was sent to it.
 """
 
 import dataclasses
@@ -13,16 +13,17 @@
 import result
 import urllib3
 
-CONNECT_SECONDS = 1.0
-CALL_SECONDS = 30.0
-_BINARY = 'application/proto'
+CONNECT_TIMEOUT_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 30.0
+_CONTENT_TYPE = 'application/proto'
 
 
 @dataclasses.dataclass(slots=True)
 class RpcError:
-    """An error answer, or the lack of an answer.
+    """The error of a call that failed or was not answered.
 
-    :param code: Connect's code, as in ``not_found``
+    :param code: the Connect error code, as in ``not_found``
+    :param text: the error message
     """
 
     code: str = ''
@@ -30,10 +31,13 @@
 
 
 class Client:
-    """Calls to any of some entries."""
+    """A client that sends each call to the first reachable entry."""
 
     def __init__(self, addresses):
-        """Take a list of (IP number, port)."""
+        """Create a client.
+
+        :param addresses: list of (IP address, port) of entries
+        """
         self._pools = [
             urllib3.HTTPConnectionPool(
                 address,
@@ -41,7 +45,7 @@
                 maxsize=4,
                 retries=False,
                 timeout=urllib3.Timeout(
-                    connect=CONNECT_SECONDS, read=CALL_SECONDS
+                    connect=CONNECT_TIMEOUT_SECONDS, read=CALL_TIMEOUT_SECONDS
                 ),
             )
             for address, port in addresses
@@ -52,26 +56,33 @@
 
         :param service: full name, as in ``portwharf.v1.CallerService``
         :param method: name, as in ``Call``
+        :param req: the request message
+        :param answer_class: the class of the answer message
         :returns: Ok(answer), or Err(RpcError)
         """
         path = f'/{service}/{method}'
         body = req.to_binary()
-        last = RpcError('unavailable', 'no entry is given')
+        last_error = RpcError('unavailable', 'no entry address was given')
         for pool in self._pools:
             try:
                 response = pool.request(
-                    'POST', path, body=body, headers={'Content-Type': _BINARY}
+                    'POST',
+                    path,
+                    body=body,
+                    headers={'Content-Type': _CONTENT_TYPE},
                 )
             except (
                 urllib3.exceptions.NewConnectionError,
                 urllib3.exceptions.ConnectTimeoutError,
             ) as exc:
-                last = RpcError('unavailable', f'entry unreachable: {exc}')
+                last_error = RpcError(
+                    'unavailable', f'entry unreachable: {exc}'
+                )
                 continue
             except urllib3.exceptions.HTTPError as exc:
                 return result.Err(RpcError('unknown', f'no answer: {exc}'))
             return _read_response(response, answer_class)
-        return result.Err(last)
+        return result.Err(last_error)
 
 
 def _read_response(response, answer_class):
--- a/packages/operators/portwharf/operators/convert.py
+++ b/packages/operators/portwharf/operators/convert.py
@@ -1,13 +1,16 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Between the schema's messages and our own data, both ways."""
+"""Conversion between schema messages and internal data types.
+
+``read_...`` functions convert from messages, ``write_...`` to messages.
+"""
 
 from portwharf.core import data
 from portwharf.v1 import operators_pb as pb
 
 
 def read_resources(message):
-    """Return the Resources of a schema message."""
+    """Return a schema message as ``data.Resources``; None is no resources."""
     if message is None:
         return data.Resources()
     return data.Resources(
@@ -15,17 +18,20 @@
     )
 
 
-def write_resources(size):
-    """Return an amount as a schema message."""
+def write_resources(resources):
+    """Return a ``data.Resources`` as a schema message.
+
+    Negative amounts become 0, as the schema's fields are unsigned.
+    """
     return pb.Resources(
-        cpu_milli=max(0, size.cpu_milli),
-        memory_mb=max(0, size.memory_mb),
-        accelerators=max(0, size.accelerators),
+        cpu_milli=max(0, resources.cpu_milli),
+        memory_mb=max(0, resources.memory_mb),
+        accelerators=max(0, resources.accelerators),
     )
 
 
 def read_workload(message):
-    """Return the Workload of a schema message."""
+    """Return a schema message as a ``data.Workload``."""
     return data.Workload(
         message.name,
         message.team,
@@ -44,7 +50,7 @@
 
 
 def write_workload(workload):
-    """Return a Workload as a schema message."""
+    """Return a ``data.Workload`` as a schema message."""
     return pb.Workload(
         name=workload.name,
         team=workload.team,
@@ -137,7 +143,7 @@
 
 
 def write_problem(problem):
-    """Return a Problem as a schema message."""
+    """Return a ``data.Problem`` as a schema message."""
     return pb.ErrorDetail(
         field=problem.field,
         value=problem.value,
--- a/packages/operators/portwharf/operators/service.py
+++ b/packages/operators/portwharf/operators/service.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The schema's ``OperatorService``, on top of a :class:`Backend`.
+"""The schema's ``OperatorService``, implemented on a :class:`Backend`.
 
-This module checks what operators send and turns outcomes into Connect's
-errors, with an ``ErrorDetail`` for each problem. It decides nothing.
+The service validates requests, passes them to the backend, and converts
+problems to Connect errors with an ``ErrorDetail`` for each problem.
 """
 
 import abc
@@ -18,7 +18,8 @@
 from portwharf.scheduler import operations
 from portwharf.v1 import operators_pb as pb
 
-_CODES = {
+# Connect error codes by the code of a problem; others are INVALID_ARGUMENT.
+_CONNECT_CODES = {
     'unknown-id': code.Code.NOT_FOUND,
     'key-in-use': code.Code.ALREADY_EXISTS,
     'conflict': code.Code.ABORTED,
@@ -30,58 +31,69 @@
 
 
 class Backend(abc.ABC):
-    """What carries operators' calls out.
+    """Carries out operators' calls.
 
-    Each call gives Ok, or Err(list of Problems).
+    Methods return Ok or Err(list of Problems) unless stated otherwise.
     """
 
     @abc.abstractmethod
     def submit(self, submission):
-        """Accept an ``operations.Submission``: Ok(Accepted)."""
+        """Accept an ``operations.Submission``; returns Ok(Accepted)."""
 
     @abc.abstractmethod
     def change(self, change):
-        """Carry out an ``operations.Change``: Ok(Accepted)."""
+        """Apply an ``operations.Change``; returns Ok(Accepted)."""
 
     @abc.abstractmethod
     def cancel(self, workload_id):
-        """Cancel a workload: Ok(Cancelled)."""
+        """Cancel a workload; returns Ok(Cancelled)."""
 
     @abc.abstractmethod
     def list_workloads(self, query):
-        """List by an ``operations.Query``: Ok(list of WorkloadView)."""
+        """List workloads by an ``operations.Query``.
+
+        :returns: Ok(list of WorkloadView)
+        """
 
     @abc.abstractmethod
     def list_tasks(self, workload_id):
-        """List a workload's tasks: Ok(list of TaskView)."""
+        """List a workload's tasks; returns Ok(list of TaskView)."""
 
     @abc.abstractmethod
     def explain(self, subject):
-        """Explain an id or "team/name": Ok(Explanation)."""
+        """Explain decisions on an id or "team/name".
+
+        :returns: Ok(Explanation)
+        """
 
     @abc.abstractmethod
     def read_shards(self):
-        """Report on all shards: Ok(list of ShardReport)."""
+        """Report on all shards; returns Ok(list of ShardReport)."""
 
     @abc.abstractmethod
     def read_config(self):
-        """Return the accepted ``Configuration``."""
+        """Return the accepted ``Configuration``, not wrapped in Ok."""
 
     @abc.abstractmethod
     def propose_config(self, base_revision, text):
-        """Accept a configuration: Ok(revision)."""
+        """Accept a configuration as a whole.
+
+        :param base_revision: the revision that the text was derived from
+        :param text: the configuration, in TOML
+        :returns: Ok(revision)
+        """
 
     @abc.abstractmethod
     def read_config_status(self):
-        """Return map of process name to revision in force."""
+        """Return a map from process name to revision, not wrapped in Ok."""
 
     @abc.abstractmethod
     def read_burn(self):
-        """Return a list of ``burn.ServiceBurn``."""
+        """Return a list of ``pb.ServiceBurn``, not wrapped in Ok."""
 
 
 class OperatorService:
-    """The handlers of the schema's calls."""
+    """Handlers of the schema's ``OperatorService``."""
 
     def __init__(self, backend):
         self._backend = backend
@@ -89,43 +101,43 @@
     def create_workload(self, req, ctx):
         """Accept a workload."""
         workload = _read_workload(req.workload)
-        _raise(validators.check_workload(workload))
+        _raise_problems(validators.check_workload(workload))
         submission = operations.Submission(req.key, workload)
-        accepted = _open(self._backend.submit(submission))
+        accepted = _unwrap(self._backend.submit(submission))
         return pb.CreateWorkloadResponse(
             id=accepted.id, created=accepted.created
         )
 
     def update_workload(self, req, ctx):
-        """Change count and importance."""
+        """Change a workload's count and importance."""
         workload = _read_workload(req.workload)
-        _raise(validators.check_workload(workload))
-        _open(self._backend.change(operations.Change(req.id, workload)))
+        _raise_problems(validators.check_workload(workload))
+        _unwrap(self._backend.change(operations.Change(req.id, workload)))
         return pb.UpdateWorkloadResponse()
 
     def cancel_workload(self, req, ctx):
         """Cancel a workload."""
-        cancelled = _open(self._backend.cancel(req.id))
+        cancelled = _unwrap(self._backend.cancel(req.id))
         return pb.CancelWorkloadResponse(cancelled=cancelled.tasks)
 
     def list_workloads(self, req, ctx):
         """List workloads."""
         query = operations.Query('', int(req.kind), req.team)
-        views = _open(self._backend.list_workloads(query))
+        views = _unwrap(self._backend.list_workloads(query))
         return pb.ListWorkloadsResponse(
             workloads=[convert.write_status(view) for view in views]
         )
 
     def list_tasks(self, req, ctx):
         """List a workload's tasks."""
-        views = _open(self._backend.list_tasks(req.workload_id))
+        views = _unwrap(self._backend.list_tasks(req.workload_id))
         return pb.ListTasksResponse(
             tasks=[convert.write_task(view) for view in views]
         )
 
     def explain(self, req, ctx):
-        """Tell what was decided and why."""
-        found = _open(self._backend.explain(req.id))
+        """Return the decisions on a subject and their reasons."""
+        found = _unwrap(self._backend.explain(req.id))
         return pb.ExplainResponse(
             subject=found.subject,
             state=found.state,
@@ -133,7 +145,7 @@
         )
 
     def get_config(self, req, ctx):
-        """Give the accepted configuration."""
+        """Return the accepted configuration."""
         current = self._backend.read_config()
         return pb.GetConfigResponse(
             revision=current.revision, text=current.text
@@ -141,13 +153,13 @@
 
     def propose_config(self, req, ctx):
         """Accept a configuration as a whole, or refuse it."""
-        revision = _open(
+        revision = _unwrap(
             self._backend.propose_config(req.base_revision, req.text)
         )
         return pb.ProposeConfigResponse(revision=revision)
 
     def config_status(self, req, ctx):
-        """Tell which revision each process acts by."""
+        """Return the configuration revision in force in each process."""
         current = self._backend.read_config()
         rows = sorted(self._backend.read_config_status().items())
         return pb.ConfigStatusResponse(
@@ -160,14 +172,14 @@
 
     def cluster_status(self, req, ctx):
         """Report on VMs and shards."""
-        shards = _open(self._backend.read_shards())
+        shards = _unwrap(self._backend.read_shards())
         return pb.ClusterStatusResponse(
             vms=[convert.write_vm(vm) for s in shards for vm in s.vms],
             shards=[convert.write_shard(shard) for shard in shards],
         )
 
     def burn_report(self, req, ctx):
-        """Report how fast services use up their error budgets."""
+        """Report the burn rates of services' error budgets."""
         return pb.BurnReportResponse(services=self._backend.read_burn())
 
 
@@ -177,19 +189,23 @@
     return convert.read_workload(message)
 
 
-def _open(outcome):
-    """Return an Ok's value, or raise its Problems as a Connect error."""
+def _unwrap(outcome):
+    """Return the value of an Ok, or raise the Problems of an Err.
+
+    :raises ConnectError: the outcome is an Err
+    """
     if isinstance(outcome, result.Err):
-        _raise(outcome.err_value)
+        _raise_problems(outcome.err_value)
     return outcome.ok_value
 
 
-def _raise(problems):
+def _raise_problems(problems):
+    """Raise a Connect error if there are any Problems."""
     if not problems:
         return
     text = '\n'.join(problem.describe() for problem in problems)
     raise errors.ConnectError(
-        _CODES.get(problems[0].code, code.Code.INVALID_ARGUMENT),
+        _CONNECT_CODES.get(problems[0].code, code.Code.INVALID_ARGUMENT),
         text,
         details=[convert.write_problem(problem) for problem in problems],
     )
--- a/packages/operators/portwharf/operators/service_test.py
+++ b/packages/operators/portwharf/operators/service_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Operators' calls over the wire format: every bad field is named."""
+"""Operators' calls over the wire format, and validation of workloads."""
 
 import json
 
@@ -26,7 +26,7 @@
 
 
 class FakeBackend(operators.Backend):
-    """Accepts everything, or answers with the problem it is given."""
+    """Accepts all calls, or refuses submissions with a given problem."""
 
     def __init__(self):
         self.submissions = []
@@ -80,7 +80,10 @@
 
 
 def post(backend, method, value):
-    """Post JSON as ``curl`` would; returns status and JSON."""
+    """Post JSON as ``curl`` would.
+
+    :returns: the status and the JSON value of the answer
+    """
     raw = value if isinstance(value, str) else json.dumps(value)
     answer = make_pool(backend).request(
         'POST', PATH + method, raw, {'Content-Type': 'application/json'}
@@ -88,7 +91,7 @@
     return answer.status, json.loads(answer.data)
 
 
-def test_json_submission_is_taken(case):
+def test_json_submission_is_accepted(case):
     backend = FakeBackend()
     body = {'workload': WORKLOAD, 'key': 'monday'}
     status, answer = post(backend, 'CreateWorkload', body)
@@ -121,14 +124,14 @@
     case.assertEqual(status, 400)
 
 
-def test_outage_is_unavailable(case):
+def test_outage_is_reported_as_unavailable(case):
     backend = FakeBackend()
     backend.problem = data.Problem('not-accepted', text='the store is down')
     status, answer = post(backend, 'CreateWorkload', {'workload': WORKLOAD})
     case.assertEqual((status, answer['code']), (503, 'unavailable'))
 
 
-def test_client_speaks_binary(case):
+def test_client_uses_the_binary_encoding(case):
     client = operators.Client([])
     client._pools = [make_pool(FakeBackend())]
     answer = client.call(
@@ -140,7 +143,7 @@
     case.assertEqual(answer.ok_value.cancelled, 2)
 
 
-def test_client_passes_over_an_entry_that_is_gone(case):
+def test_client_skips_an_unreachable_entry(case):
     app = make_pool(FakeBackend())._app
     port = fixtures.serve(case, app)
     client = operators.Client([('127.0.0.1', 1), ('127.0.0.1', port)])
@@ -153,7 +156,7 @@
     case.assertEqual(answer.ok_value.workloads[0].workload.name, 'plans')
 
 
-def test_client_tells_errors_by_code(case):
+def test_client_returns_the_error_code(case):
     backend = FakeBackend()
     backend.problem = data.Problem('key-in-use', 'key', text='is in use')
     client = operators.Client([])
@@ -171,11 +174,11 @@
 
 
 def test_every_validator_can_fail(case):
-    wrong = {
+    invalid = {
         validators.check_names: {'name': ''},
         validators.check_kind: {'kind': 7},
         validators.check_resources: {'resources': data.Resources(1, 0)},
-        validators.check_numbers: {'count': 0},
+        validators.check_ranges: {'count': 0},
         validators.check_batch_fields: {
             'kind': data.Kind.SERVICE,
             'run_seconds': 5,
@@ -183,7 +186,7 @@
         validators.check_deadline: {'run_seconds': 9, 'deadline_seconds': 5},
         validators.check_argument: {'argument': bytes(65537)},
     }
-    case.assertEqual(set(wrong), set(validators.CHECKS))
-    for check, fields in wrong.items():
+    case.assertEqual(set(invalid), set(validators.CHECKS))
+    for check, fields in invalid.items():
         case.assertEqual(len(check(fixtures.make_workload(**fields))), 1)
         case.assertEqual(check(fixtures.make_workload()), [])
--- a/packages/operators/portwharf/operators/validators.py
+++ b/packages/operators/portwharf/operators/validators.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a declared workload must satisfy, one check in each function.
+"""Validation of declared workloads, one rule in each function.
 
-Each takes a ``data.Workload`` and returns a list of Problems. All run, so
-that an operator hears of everything at once. Whether the cluster can hold
-the workload is the scheduler's question and not asked here.
+Each function takes a ``data.Workload`` and returns a list of Problems. All
+are run, so that an operator sees all problems at once. Whether the cluster
+has the capacity for a workload is checked by the scheduler.
 """
 
 from portwharf.core import data
@@ -21,12 +21,12 @@
 
 
 def check_workload(workload):
-    """Return all that is wrong with a declared workload."""
+    """Return all problems of a declared workload."""
     return [problem for check in CHECKS for problem in check(workload)]
 
 
 def check_names(workload):
-    """Names and teams are short and plain, so that they fit in ids."""
+    """Check that names are valid as parts of ids."""
     problems = []
     for field in ('name', 'team', 'program'):
         value = getattr(workload, field)
@@ -34,42 +34,44 @@
             settings.name(value)
         except settings.Invalid:
             problems.append(
-                _make(field, repr(value), f'must be {NAME_RULE}', 'rename it')
+                _make_problem(
+                    field, repr(value), f'must be {NAME_RULE}', 'rename it'
+                )
             )
     return problems
 
 
 def check_kind(workload):
-    """A workload is one of three kinds."""
+    """Check that the kind is one of the three kinds."""
     if workload.kind in list(data.Kind):
         return []
     return [
-        _make(
+        _make_problem(
             'kind',
             str(workload.kind),
             'must be KIND_SERVICE, KIND_BATCH or KIND_STANDING',
-            'set it',
+            'set one of these kinds',
         )
     ]
 
 
 def check_resources(workload):
-    """A task takes some processor and memory, within what can be meant."""
-    size = workload.resources
+    """Check that each resource is within its range."""
+    resources = workload.resources
     problems = []
-    rows = (
-        ('cpu_milli', size.cpu_milli, 1, MAX_CPU_MILLI),
-        ('memory_mb', size.memory_mb, 1, MAX_MEMORY_MB),
-        ('accelerators', size.accelerators, 0, MAX_ACCELERATORS),
+    ranges = (
+        ('cpu_milli', resources.cpu_milli, 1, MAX_CPU_MILLI),
+        ('memory_mb', resources.memory_mb, 1, MAX_MEMORY_MB),
+        ('accelerators', resources.accelerators, 0, MAX_ACCELERATORS),
     )
-    for field, value, least, most in rows:
-        problems += _check_range(f'resources.{field}', value, least, most)
+    for field, value, low, high in ranges:
+        problems += _check_range(f'resources.{field}', value, low, high)
     return problems
 
 
-def check_numbers(workload):
-    """Count, importance and times lie in their ranges."""
-    rows = (
+def check_ranges(workload):
+    """Check that count, importance and durations are within their ranges."""
+    ranges = (
         ('count', workload.count, 1, MAX_COUNT),
         ('importance', workload.importance, 0, MAX_IMPORTANCE),
         ('run_seconds', workload.run_seconds, 0, MAX_SECONDS),
@@ -77,21 +79,21 @@
     )
     return [
         problem
-        for field, value, least, most in rows
-        for problem in _check_range(field, value, least, most)
+        for field, value, low, high in ranges
+        for problem in _check_range(field, value, low, high)
     ]
 
 
 def check_batch_fields(workload):
-    """Deadlines and run times are for batch jobs alone."""
+    """Check that only batch jobs have a deadline or a run time."""
     if workload.kind == data.Kind.BATCH:
         return []
     return [
-        _make(
+        _make_problem(
             field,
             str(getattr(workload, field)),
-            'is for batch jobs only',
-            'leave it out',
+            'is allowed for batch jobs only',
+            'remove it',
         )
         for field in ('run_seconds', 'deadline_seconds')
         if getattr(workload, field)
@@ -99,27 +101,27 @@
 
 
 def check_deadline(workload):
-    """A job that has to be done sooner than it can run is a mistake."""
-    late = 0 < workload.deadline_seconds < workload.run_seconds
-    if not late:
+    """Check that a deadline is not shorter than the run time."""
+    is_too_short = 0 < workload.deadline_seconds < workload.run_seconds
+    if not is_too_short:
         return []
     return [
-        _make(
+        _make_problem(
             'deadline_seconds',
             str(workload.deadline_seconds),
             f'is shorter than run_seconds = {workload.run_seconds}',
-            'allow more time, or declare a shorter run',
+            'set a longer deadline or a shorter run time',
         )
     ]
 
 
 def check_argument(workload):
-    """The argument is logged, so it has to be small."""
+    """Check the size of the argument, which is stored in the shard log."""
     size = len(workload.argument)
     if size <= MAX_ARGUMENT_BYTES:
         return []
     return [
-        _make(
+        _make_problem(
             'argument',
             f'{size} bytes',
             f'must be at most {MAX_ARGUMENT_BYTES} bytes',
@@ -132,19 +134,19 @@
     check_names,
     check_kind,
     check_resources,
-    check_numbers,
+    check_ranges,
     check_batch_fields,
     check_deadline,
     check_argument,
 )
 
 
-def _check_range(field, value, least, most):
-    if least <= value <= most:
+def _check_range(field, value, low, high):
+    if low <= value <= high:
         return []
-    text = f'must be a whole number from {least:,} to {most:,}'
-    return [_make(field, str(value), text, 'change the value')]
+    text = f'must be a whole number from {low:,} to {high:,}'
+    return [_make_problem(field, str(value), text, 'change the value')]
 
 
-def _make(field, value, text, remedy):
+def _make_problem(field, value, text, remedy):
     return data.Problem('bad-field', f'workload.{field}', value, text, remedy)
