--- a/packages/callers/portwharf/callers/__init__.py
+++ b/packages/callers/portwharf/callers/__init__.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Callers: their requests to services, the outcomes and the burn."""
+"""The callers' API: requests to services and error budget burn rates."""
 
 from portwharf.callers.burn import BurnCounter
 from portwharf.callers.burn import compute_burn
--- a/packages/callers/portwharf/callers/burn.py
+++ b/packages/callers/portwharf/callers/burn.py
@@ -1,12 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""How fast services use up their error budgets.
+"""Burn rates of the services' error budgets.
 
-Each entry counts its requests in buckets of a minute for a day, so that
-the report needs no store; a new entry starts at zero. A request counts
-against the budget when it was not answered, or answered later than the
-service's target. Rates over several windows tell a short burst from a slow
-leak.
+Each entry counts its requests in one-minute buckets and keeps them in memory
+for a day; a new entry starts at zero. A request counts against the budget if
+it was not answered or was answered later than the service's target. Burn
+rates over several windows distinguish a short burst from a slow leak.
 """
 
 import collections
@@ -22,10 +21,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Bucket:
-    """Requests of one service in one minute.
+    """The number of requests to one service in one minute.
 
-    :param start: seconds on the counting process's wall clock
-    :param bad: late, or not answered
+    :param start: the start of the minute in Unix seconds, on the clock of
+        the entry that counts
+    :param bad: requests that were answered late or not at all
     """
 
     start: int = 0
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceBuckets:
-    """The buckets of one service, oldest first."""
+    """The buckets of one service, sorted from oldest to newest."""
 
     service: str = ''
     buckets: list[Bucket] = dataclasses.field(default_factory=list)
@@ -43,7 +43,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Window:
-    """How a service did over a window."""
+    """The requests to a service and its burn rate over a window.
+
+    :param seconds: the length of the window
+    :param bad: requests that were answered late or not at all
+    :param rate: the burn rate; at 1, the budget lasts exactly its period
+    """
 
     seconds: int = 0
     total: int = 0
@@ -53,9 +58,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Burn:
-    """A service's burn.
+    """The state of a service's error budget.
 
-    :param exhausted_in: seconds until no budget is left, 0 for never
+    :param target_ratio: the ratio of requests to be answered in time
+    :param windows: a :class:`Window` for each of ``WINDOWS_SECONDS``
+    :param budget_left: the remaining share of the budget, 0 to 1
+    :param exhausted_in: seconds until no budget is left at the current rate,
+        0 if the rate is sustainable
     """
 
     service: str = ''
@@ -67,17 +76,26 @@
 
 
 class BurnCounter:
-    """Counts requests by service and minute."""
+    """Counts requests by service and minute; thread-safe."""
 
     def __init__(self, clock, find_target):
-        """Take a clock and a function from service to Target or None."""
+        """Create a counter without requests.
+
+        :param clock: a ``clock.Clock``
+        :param find_target: a function that returns the target of a service,
+            an object with ``ms``, or None
+        """
         self._clock = clock
         self._find_target = find_target
         self._lock = threading.Lock()
         self._services = collections.defaultdict(collections.deque)
 
     def observe(self, service, outcome, seconds):
-        """Count one request."""
+        """Count one request.
+
+        :param outcome: a ``data.Outcome``
+        :param seconds: the time that the request took
+        """
         target = self._find_target(service)
         bad = outcome != data.Outcome.ANSWERED
         if target is not None:
@@ -103,26 +121,26 @@
 
 
 def compute_burn(service, target, buckets, now):
-    """Work out a service's burn.
+    """Compute the burn rates of a service.
 
     :param target: an object with ``ms`` and ``ratio``
-    :param buckets: of all entries together
-    :param now: wall time in seconds
+    :param buckets: the buckets of all entries, in any order
+    :param now: wall time, in Unix seconds
     :returns: a :class:`Burn`
     """
     budget = 1 - target.ratio
     burn = Burn(service, target.ms, target.ratio)
     for seconds in WINDOWS_SECONDS:
-        burn.windows.append(_sum_window(buckets, seconds, now, budget))
+        burn.windows.append(_compute_window(buckets, seconds, now, budget))
     period = burn.windows[-1]
     if period.total:
         allowed = period.total * budget
         burn.budget_left = max(0.0, 1 - period.bad / allowed)
-    burn.exhausted_in = _predict_end(burn)
+    burn.exhausted_in = _predict_exhaustion_seconds(burn)
     return burn
 
 
-def _sum_window(buckets, seconds, now, budget):
+def _compute_window(buckets, seconds, now, budget):
     window = Window(seconds)
     for bucket in buckets:
         if bucket.start + BUCKET_SECONDS > now - seconds:
@@ -133,8 +151,11 @@
     return window
 
 
-def _predict_end(burn):
-    """Return seconds until the budget is gone at the latest rate."""
+def _predict_exhaustion_seconds(burn):
+    """Return the seconds until the budget is used up, 0 for never.
+
+    Assumes the burn rate of the shortest window.
+    """
     rate = burn.windows[0].rate
     if rate <= 1:
         return 0
--- a/packages/callers/portwharf/callers/service.py
+++ b/packages/callers/portwharf/callers/service.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The schema's ``CallerService``: one request, one whole answer.
+"""The schema's ``CallerService``: a request is answered with one response.
 
-Bad requests get a Connect error and have not run. All others get one of
-the four outcomes; which, is the router's to find out.
+Invalid requests are refused with a Connect error before they run. All others
+get one of the four outcomes, which the router determines.
 """
 
 import abc
@@ -17,7 +17,7 @@
 from portwharf.v1 import callers_pb as pb
 
 MAX_DEADLINE_MS = 600_000
-MAX_CALLER = 63
+MAX_CALLER_CHARACTERS = 63
 MAX_PAYLOAD_BYTES = 8 * 1024 * 1024
 
 _ADVICE = {
@@ -35,7 +35,9 @@
 class Call:
     """A caller's request.
 
-    :param deadline_ms: from now
+    :param repeatable: the caller accepts that the request runs repeatedly
+    :param deadline_ms: time until the caller stops waiting
+    :param sent_before: the caller has sent a request with this id before
     """
 
     id: str = ''
@@ -45,18 +47,20 @@
     payload: bytes = b''
     caller: str = ''
     sent_before: bool = False
-    # Found out on the way: the caller has more than its share under way.
+    # Set on admission: the caller has more requests in progress than its
+    # share.
     excess: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class CallResult:
-    """What became of a request.
+    """The outcome of a request.
 
-    :param maybe_ran: some sending of it may have run, whatever became of
-        the last one
-    :param proved: "not run" holds for all sendings of the id, by the word
-        of its home
+    :param outcome: one of ``data.Outcome``
+    :param maybe_ran: one of the attempts to send the request may have run,
+        whatever the outcome of the last one
+    :param proved: the home VM of the request has confirmed that an outcome
+        "not run" applies to all requests with this id
     """
 
     outcome: int = data.Outcome.UNKNOWN
@@ -69,24 +73,25 @@
 
 
 class Router(abc.ABC):
-    """What carries requests to endpoints."""
+    """Sends requests to endpoints."""
 
     @abc.abstractmethod
     def route(self, call):
-        """Carry out a :class:`Call`.
+        """Send a request to an endpoint and wait for its answer.
 
-        :returns: a :class:`CallResult`, by the deadline
+        :param call: a :class:`Call`
+        :returns: a :class:`CallResult`, by the deadline of the call
         """
 
 
 class CallerService:
-    """The handlers of the schema's calls."""
+    """Handlers of the schema's ``CallerService``."""
 
     def __init__(self, router):
         self._router = router
 
     def call(self, req, ctx):
-        """Carry a request to an endpoint and its answer back."""
+        """Send a request to an endpoint and return its answer."""
         problems = check_call(req)
         if problems:
             raise errors.ConnectError(
@@ -116,7 +121,7 @@
 
 
 def check_call(req):
-    """Return all that is wrong with a request, as Problems."""
+    """Return the Problems of a request message."""
     problems = []
     if ids.read_unix_ms(req.id) is None:
         problems.append(
@@ -125,7 +130,7 @@
                 'id',
                 repr(req.id),
                 'must be a UUID of version 7',
-                'make a new one for each new request',
+                'generate a new one for each new request',
             )
         )
     team, slash, name = req.service.partition('/')
@@ -146,7 +151,7 @@
                 'deadline_ms',
                 str(req.deadline_ms),
                 f'must be from 1 to {MAX_DEADLINE_MS:,}',
-                'set how long you will wait',
+                'set the time to wait for the answer',
             )
         )
     if len(req.payload) > MAX_PAYLOAD_BYTES:
@@ -156,17 +161,17 @@
                 'payload',
                 f'{len(req.payload)} bytes',
                 f'must be at most {MAX_PAYLOAD_BYTES:,} bytes',
-                'send less at a time',
+                'send a smaller payload',
             )
         )
-    if len(req.caller) > MAX_CALLER:
+    if len(req.caller) > MAX_CALLER_CHARACTERS:
         problems.append(
             data.Problem(
                 'bad-field',
                 'caller',
                 f'{len(req.caller)} characters',
-                f'must be at most {MAX_CALLER} characters',
-                'shorten it',
+                f'must be at most {MAX_CALLER_CHARACTERS} characters',
+                'use a shorter name',
             )
         )
     return problems
--- a/packages/callers/portwharf/callers/service_test.py
+++ b/packages/callers/portwharf/callers/service_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Bad requests are refused; all others get one of four outcomes."""
+"""Invalid requests are refused; all others get one of four outcomes."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 class FakeRouter(callers.Router):
-    """Answers every request in the same way."""
+    """Answers every request with the same result."""
 
     def __init__(self, done):
         self.done = done
@@ -25,7 +25,10 @@
 
 
 def post(router, **fields):
-    """Post a request as ``curl`` would; returns status and JSON."""
+    """Post a request as ``curl`` would.
+
+    :returns: the status and the JSON value of the answer
+    """
     body = {'id': ids.make_id(), 'service': 'lens/fit', 'deadlineMs': 100}
     app = callers_connect.CallerServiceWSGIApplication(
         callers.CallerService(router)
@@ -39,17 +42,17 @@
     return answer.status, json.loads(answer.data)
 
 
-def test_each_outcome_goes_out_with_advice(case):
+def test_outcomes_other_than_answered_have_advice(case):
     for outcome in data.Outcome:
         done = callers.CallResult(outcome, b'x', 'why', 20, 'vm-1')
         status, answer = post(FakeRouter(done))
         case.assertEqual(status, 200)
         case.assertEqual(answer['outcome'], f'OUTCOME_{outcome.name}')
-        told = 'advice' in answer
-        case.assertEqual(told, outcome != data.Outcome.ANSWERED)
+        has_advice = 'advice' in answer
+        case.assertEqual(has_advice, outcome != data.Outcome.ANSWERED)
 
 
-def test_bad_requests_do_not_reach_the_router(case):
+def test_invalid_requests_do_not_reach_the_router(case):
     router = FakeRouter(callers.CallResult())
     for fields in (
         {'id': 'hello'},
@@ -65,9 +68,9 @@
     case.assertEqual(router.calls, [])
 
 
-def test_request_is_not_repeatable_unless_it_says_so(case):
+def test_request_is_not_repeatable_by_default(case):
     router = FakeRouter(callers.CallResult())
     post(router)
     post(router, repeatable=True)
-    told = [call.repeatable for call in router.calls]
-    case.assertEqual(told, [False, True])
+    repeatable = [call.repeatable for call in router.calls]
+    case.assertEqual(repeatable, [False, True])
