--- a/packages/core/portwharf/core/clock.py
+++ b/packages/core/portwharf/core/clock.py
@@ -41,15 +41,12 @@
     """Measures how long the machine was suspended, for the logs."""
 
     def __init__(self):
-        self._total_seconds = _read_suspended_seconds()
+        self._seconds = _read_suspended_seconds()
 
     def take_suspended_seconds(self):
         """Return the seconds of suspension since the previous call."""
-        before, self._total_seconds = (
-            self._total_seconds,
-            _read_suspended_seconds(),
-        )
-        return self._total_seconds - before
+        before, self._seconds = self._seconds, _read_suspended_seconds()
+        return self._seconds - before
 
 
 def _read_suspended_seconds():
--- a/packages/core/portwharf/core/data.py
+++ b/packages/core/portwharf/core/data.py
@@ -12,7 +12,7 @@
 
 
 class Kind(enum.IntEnum):
-    """The kind of a workload; numbers as in the schema."""
+    """How long a workload's tasks run; numbers as in the schema."""
 
     SERVICE = 1
     BATCH = 2
@@ -69,7 +69,7 @@
 
 
 class Role(enum.StrEnum):
-    """The role of a VM."""
+    """What a VM is used for."""
 
     ENTRY = 'entry'
     ENDPOINT = 'endpoint'
@@ -208,8 +208,8 @@
         """
         if not self.fills:
             return self.resources
-        size = self.resources
-        return Resources(0, size.memory_mb, size.accelerators)
+        resources = self.resources
+        return Resources(0, resources.memory_mb, resources.accelerators)
 
     @property
     def key(self):
--- a/packages/core/portwharf/core/settings_test.py
+++ b/packages/core/portwharf/core/settings_test.py
@@ -16,7 +16,7 @@
         voluptuous.Optional('log', default=dict): settings.LOG,
     }
 )
-GOOD = '[vm]\naddress = "10.0.0.5"\nport = 7000\n'
+VALID = '[vm]\naddress = "10.0.0.5"\nport = 7000\n'
 
 
 def check(text):
@@ -25,7 +25,7 @@
 
 
 def test_valid_text_is_completed_with_defaults(case):
-    values = settings.check_text(GOOD, SCHEMA).ok_value
+    values = settings.check_text(VALID, SCHEMA).ok_value
     case.assertEqual(values['vm']['share'], 1.0)
     case.assertEqual(values['log'], {'style': 'json', 'level': 'INFO'})
 
@@ -37,12 +37,12 @@
 
 
 def test_similar_key_is_suggested_for_an_unknown_key(case):
-    (problem,) = check(GOOD + 'shar = 0.5\n')
+    (problem,) = check(VALID + 'shar = 0.5\n')
     case.assertEqual(problem.remedy, 'did you mean "share"?')
 
 
 def test_all_keys_are_listed_if_none_is_similar(case):
-    (problem,) = check(GOOD + 'zzz = 0.5\n')
+    (problem,) = check(VALID + 'zzz = 0.5\n')
     case.assertIn('address, port, share', problem.remedy)
 
 
@@ -52,7 +52,7 @@
 
 
 def test_value_is_quoted_in_the_error(case):
-    (problem,) = check(GOOD.replace('7000', '70000'))
+    (problem,) = check(VALID.replace('7000', '70000'))
     case.assertEqual(problem.value, '70000')
     case.assertIn('from 1 to 65,535', problem.text)
 
@@ -68,7 +68,7 @@
 
 
 def test_true_is_not_a_number(case):
-    case.assertEqual(check(GOOD.replace('7000', 'true'))[0].field, 'vm.port')
+    case.assertEqual(check(VALID.replace('7000', 'true'))[0].field, 'vm.port')
 
 
 def test_tls_is_off_only_if_plaintext_is_set(case):
