--- a/packages/entry/portwharf/entry/pictures.py
+++ b/packages/entry/portwharf/entry/charts.py
@@ -1,22 +1,22 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The burn report as a picture, by ``matplotlib`` where it is installed.
+"""Draws the burn report as a chart.
 
-Left out of the ordinary installation: see requirements-pictures.txt.
+Needs ``matplotlib``, an optional dependency: see requirements-pictures.txt.
 """
 
 import result
 
 from portwharf.core import data
 
-_INCHES = (9, 4)
+_FIGURE_INCHES = (9, 4)
 
 
-def draw_burn(services, path):
-    """Draw burn rates over the windows, a line a service.
+def draw_burn_chart(services, path):
+    """Plot the burn rate per window, one line for each service.
 
     :param services: list of the schema's ``ServiceBurn``
-    :param path: of the picture; its ending says which kind
+    :param path: output file; its extension selects the image format
     :returns: Ok(None), or Err(Problem)
     """
     try:
@@ -25,17 +25,17 @@
         return result.Err(
             data.Problem(
                 'no-matplotlib',
-                text='pictures need matplotlib',
+                text='--picture needs matplotlib, which is not installed',
                 remedy='pip install -r requirements-pictures.txt',
             )
         )
-    drawn = figure.Figure(figsize=_INCHES, layout='constrained')
-    axes = drawn.subplots()
-    for one in services:
-        labels = [_format_window(w.window_seconds) for w in one.windows]
-        rates = [window.burn_rate for window in one.windows]
-        left = f'{one.service}, {one.budget_left:.1%} left'
-        axes.plot(labels, rates, marker='o', label=left)
+    chart = figure.Figure(figsize=_FIGURE_INCHES, layout='constrained')
+    axes = chart.subplots()
+    for service in services:
+        labels = [_format_window(w.window_seconds) for w in service.windows]
+        rates = [window.burn_rate for window in service.windows]
+        label = f'{service.service}, {service.budget_left:.1%} left'
+        axes.plot(labels, rates, marker='o', label=label)
     axes.axhline(1.0, color='gray', linestyle='--')
     axes.set_xlabel('window')
     axes.set_ylabel('burn rate (1: the budget lasts just the period)')
@@ -43,7 +43,7 @@
     if services:
         axes.legend()
     try:
-        drawn.savefig(path)
+        chart.savefig(path)
     except (OSError, ValueError) as exc:
         return result.Err(
             data.Problem(
--- a/packages/entry/portwharf/entry/calling.py
+++ b/packages/entry/portwharf/entry/cli.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What the client commands share: the call to an entry, and how it ends.
+"""Options, RPC calls and exit codes shared by the client commands.
 
-Exit codes: 0 done, 1 refused or failed, 2 the command line or a file is
-wrong, 3 no entry could be reached or the outcome is unknown.
+Exit codes: 0 success, 1 refused or failed, 2 invalid command line or file,
+3 no entry reachable or outcome unknown.
 """
 
 import os
@@ -18,11 +18,11 @@
 EXIT_USAGE = 2
 EXIT_UNREACHABLE = 3
 
-SERVICE = 'portwharf.v1.OperatorService'
+OPERATOR_SERVICE = 'portwharf.v1.OperatorService'
 _ENTRY_VARIABLE = 'PORTWHARF_ENTRY'
 _UNREACHABLE_CODES = ('unavailable', 'unknown', 'deadline_exceeded')
 
-Entry = typing.Annotated[
+EntryOption = typing.Annotated[
     str,
     cappa.Arg(
         long='--entry',
@@ -31,13 +31,16 @@
         f'else the variable {_ENTRY_VARIABLE}.',
     ),
 ]
-Json = typing.Annotated[
+JsonOption = typing.Annotated[
     bool, cappa.Arg(long='--json', help='Print JSON for programs.')
 ]
 
 
-def call_entry(entry, method, req, answer_class, service=SERVICE):
-    """Make one call, or print why it failed and exit."""
+def call_entry(entry, method, req, answer_class, service=OPERATOR_SERVICE):
+    """Call an entry and return the answer.
+
+    Prints the error and exits if the call fails.
+    """
     client = operators.Client(read_addresses(entry))
     answer = client.call(service, method, req, answer_class)
     if answer.is_ok():
@@ -50,8 +53,14 @@
 
 
 def read_addresses(entry):
-    """Return (IP number, port) pairs of IP:PORT[,IP:PORT...]."""
-    pairs = []
+    """Parse IP:PORT[,IP:PORT...].
+
+    Falls back to the environment variable if ``entry`` is empty. Prints the
+    error and exits if an address is malformed.
+
+    :returns: list of (IP address, port)
+    """
+    addresses = []
     for part in (entry or os.environ.get(_ENTRY_VARIABLE, '')).split(','):
         address, colon, port = part.strip().rpartition(':')
         if not colon or not port.isdigit():
@@ -61,8 +70,8 @@
                 file=sys.stderr,
             )
             sys.exit(EXIT_USAGE)
-        pairs.append((address, int(port)))
-    return pairs
+        addresses.append((address, int(port)))
+    return addresses
 
 
 def print_json(message):
@@ -70,8 +79,8 @@
     print(message.to_json())
 
 
-def fail_with_problems(problems):
-    """Print what is wrong with a file, and exit."""
+def exit_with_problems(problems):
+    """Print the problems found in a file, and exit."""
     for problem in problems:
         print(problem.describe(), file=sys.stderr)
     sys.exit(EXIT_USAGE)
--- a/packages/entry/portwharf/entry/cluster_commands.py
+++ b/packages/entry/portwharf/entry/cluster_commands.py
@@ -1,8 +1,8 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The operators' commands about the cluster: configuration, state, reports.
+"""Operator commands for configuration, cluster status and reports.
 
-Each is a client of the RPC.
+Each command is a client of the operator RPC.
 """
 
 import dataclasses
@@ -12,9 +12,9 @@
 
 import cappa
 
-from portwharf.entry import calling
+from portwharf.entry import charts
+from portwharf.entry import cli
 from portwharf.entry import delay_commands
-from portwharf.entry import pictures
 from portwharf.entry import tables
 from portwharf.v1 import operators_pb as pb
 
@@ -22,23 +22,23 @@
 @cappa.command(name='get')
 @dataclasses.dataclass
 class ConfigGet:
-    """Print the accepted configuration; its revision is on line one.
+    """Print the accepted configuration, with its revision on line one.
 
     Example: portwharf config get > current.toml
     """
 
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
-        got = calling.call_entry(
+        got = cli.call_entry(
             self.entry,
             'GetConfig',
             pb.GetConfigRequest(),
             pb.GetConfigResponse,
         )
         if self.json:
-            calling.print_json(got)
+            cli.print_json(got)
             return
         print(f'# revision {got.revision}')
         print(got.text, end='')
@@ -47,7 +47,9 @@
 @cappa.command(name='set')
 @dataclasses.dataclass
 class ConfigSet:
-    """Make a file the configuration, if nobody changed it meanwhile.
+    """Replace the configuration by a file.
+
+    Refused if the accepted revision is no longer --base.
 
     Example: portwharf config set current.toml --base 17
     """
@@ -56,56 +58,56 @@
     base: typing.Annotated[
         int, cappa.Arg(long='--base', help='Revision that was changed.')
     ] = 0
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
         try:
             text = pathlib.Path(self.file).read_text()
         except (OSError, UnicodeDecodeError) as exc:
             print(f'{self.file}: cannot be read: {exc}', file=sys.stderr)
-            sys.exit(calling.EXIT_USAGE)
+            sys.exit(cli.EXIT_USAGE)
         req = pb.ProposeConfigRequest(base_revision=self.base, text=text)
-        made = calling.call_entry(
+        proposed = cli.call_entry(
             self.entry, 'ProposeConfig', req, pb.ProposeConfigResponse
         )
         if self.json:
-            calling.print_json(made)
+            cli.print_json(proposed)
             return
-        print(f'accepted as revision {made.revision}')
+        print(f'accepted as revision {proposed.revision}')
 
 
 @cappa.command(name='status')
 @dataclasses.dataclass
 class ConfigStatus:
-    """Show which revision each process acts by.
+    """Show the configuration revision in force in each process.
 
     Example: portwharf config status
     """
 
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
-        got = calling.call_entry(
+        got = cli.call_entry(
             self.entry,
             'ConfigStatus',
             pb.ConfigStatusRequest(),
             pb.ConfigStatusResponse,
         )
         if self.json:
-            calling.print_json(got)
+            cli.print_json(got)
             return
         print(f'accepted revision: {got.revision}')
         tables.print_table(
             ('PROCESS', 'REVISION', 'IN FORCE'),
             [
                 (
-                    one.process,
-                    one.revision,
-                    'yes' if one.revision == got.revision else 'not yet',
+                    process.process,
+                    process.revision,
+                    'yes' if process.revision == got.revision else 'not yet',
                 )
-                for one in got.processes
+                for process in got.processes
             ],
         )
 
@@ -113,7 +115,7 @@
 @cappa.command(name='config')
 @dataclasses.dataclass
 class Config:
-    """Read, change and follow the configuration."""
+    """Read, change and monitor the configuration."""
 
     command: cappa.Subcommands[ConfigGet | ConfigSet | ConfigStatus]
 
@@ -121,23 +123,23 @@
 @cappa.command(name='status')
 @dataclasses.dataclass
 class Status:
-    """Show shards, their owners, and VMs.
+    """Show shards with their owners, and VMs.
 
     Example: portwharf status
     """
 
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
-        got = calling.call_entry(
+        got = cli.call_entry(
             self.entry,
             'ClusterStatus',
             pb.ClusterStatusRequest(),
             pb.ClusterStatusResponse,
         )
         if self.json:
-            calling.print_json(got)
+            cli.print_json(got)
             return
         tables.print_table(
             ('SHARD', 'OWNER', 'EPOCH', 'LOG', 'WAITING', 'RUNNING'),
@@ -155,8 +157,8 @@
                     vm.availability_zone,
                     vm.rack,
                     vm.state,
-                    tables.format_size(vm.capacity),
-                    tables.format_size(vm.reserved),
+                    tables.format_resources(vm.capacity),
+                    tables.format_resources(vm.reserved),
                     vm.tasks,
                 )
                 for vm in got.vms
@@ -167,7 +169,7 @@
 @cappa.command(name='burn')
 @dataclasses.dataclass
 class Burn:
-    """Show how fast services use up their error budgets.
+    """Show the burn rates of the services' error budgets.
 
     Example: portwharf report burn --picture burn.png
     """
@@ -175,28 +177,32 @@
     picture: typing.Annotated[
         str, cappa.Arg(long='--picture', help='Draw it into this file.')
     ] = ''
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
-        got = calling.call_entry(
+        got = cli.call_entry(
             self.entry,
             'BurnReport',
             pb.BurnReportRequest(),
             pb.BurnReportResponse,
         )
         if self.json:
-            calling.print_json(got)
+            cli.print_json(got)
             return
         if self.picture:
-            drawn = pictures.draw_burn(got.services, self.picture)
+            drawn = charts.draw_burn_chart(got.services, self.picture)
             if drawn.is_err():
-                calling.fail_with_problems([drawn.err_value])
+                cli.exit_with_problems([drawn.err_value])
             print(f'drawn: {self.picture}')
             return
         tables.print_table(
             ('SERVICE', 'TARGET', 'WINDOW', 'REQUESTS', 'BAD', 'BURN', 'LEFT'),
-            [row for one in got.services for row in _list_burn(one)],
+            [
+                row
+                for service in got.services
+                for row in _list_windows(service)
+            ],
         )
 
 
@@ -208,17 +214,18 @@
     command: cappa.Subcommands[Burn | delay_commands.Delays]
 
 
-def _list_burn(one):
-    target = f'{one.target_ratio:.3%} in {one.target_ms} ms'
+def _list_windows(service):
+    """Return a table row for each burn window of a service."""
+    target = f'{service.target_ratio:.3%} in {service.target_ms} ms'
     return [
         (
-            one.service,
+            service.service,
             target,
             f'{window.window_seconds} s',
             window.requests,
             window.late_or_failed,
             f'{window.burn_rate:.2f}',
-            f'{one.budget_left:.1%}',
+            f'{service.budget_left:.1%}',
         )
-        for window in one.windows
+        for window in service.windows
     ]
--- a/packages/entry/portwharf/entry/delay_commands.py
+++ b/packages/entry/portwharf/entry/delay_commands.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The command that tells from logs where the time of jobs went."""
+"""The command ``report delays``, which reads logs of all processes."""
 
 import collections
 import dataclasses
@@ -10,22 +10,22 @@
 import cappa
 
 from portwharf.core import data
-from portwharf.entry import calling
+from portwharf.entry import cli
 from portwharf.entry import delays
-from portwharf.entry import histories
+from portwharf.entry import job_history
 from portwharf.entry import tables
 
-# Jobs that are listed one by one.
-MOST_JOBS = 10
+# Slowest jobs listed individually.
+MAX_LISTED_JOBS = 10
 
 
 @cappa.command(name='delays')
 @dataclasses.dataclass
 class Delays:
-    """Tell from logs why jobs were late, or were not done.
+    """Explain from logs why jobs were late or did not end.
 
-    Takes the logs of all processes, as files. For each queue, the seconds
-    that its late jobs took are shown by cause, and those of the slowest.
+    Takes the log files of all processes. Prints, for each queue, the mean
+    seconds of its late jobs by cause, and then the slowest jobs.
 
     Example: portwharf report delays owner.log side-*.log entry-*.log
     """
@@ -34,24 +34,24 @@
     all: typing.Annotated[
         bool, cappa.Arg(long='--all', help='Count jobs in time as well.')
     ] = False
-    json: calling.Json = False
+    json: cli.JsonOption = False
 
     def __call__(self):
         lines = []
         for path in self.logs:
             lines += _read_file(path)
-        found = delays.measure_all(histories.read_lines(lines))
-        counted = [one for one in found if self.all or one.is_late]
+        measured = delays.measure_delays(job_history.read_lines(lines))
+        counted = [delay for delay in measured if self.all or delay.is_late]
         if self.json:
-            print(json.dumps([_describe(one) for one in counted]))
+            print(json.dumps([_describe(delay) for delay in counted]))
             return
-        _print_queues(found, counted)
+        _print_queues(measured, counted)
         print()
         _print_jobs(counted)
 
 
 def _read_file(path):
-    """Return the lines of a file, or say what is wrong and exit."""
+    """Return the lines of a file, or print the problem and exit."""
     try:
         with open(path, encoding='utf-8', errors='replace') as source:
             return source.readlines()
@@ -63,66 +63,70 @@
             str(exc),
             'name files that hold the logs of the processes',
         )
-        return calling.fail_with_problems([problem])
+        return cli.exit_with_problems([problem])
 
 
-def _print_queues(found, counted):
+def _print_queues(measured, counted):
     """Print the mean seconds of each queue's jobs, by cause."""
     rows = []
-    for queue in sorted({one.job.queue for one in found}):
-        mine = [one for one in counted if one.job.queue == queue]
-        total = sum(one.job.queue == queue for one in found)
-        late = sum(one.is_late for one in found if one.job.queue == queue)
+    for queue in sorted({delay.job.queue for delay in measured}):
+        queue_delays = [delay for delay in counted if delay.job.queue == queue]
+        total = sum(delay.job.queue == queue for delay in measured)
+        late = sum(
+            delay.is_late for delay in measured if delay.job.queue == queue
+        )
         seconds = collections.Counter()
-        for one in mine:
-            seconds.update(one.seconds)
-        count = max(1, len(mine))
-        took = sum(one.took for one in mine) / count
-        tail = sum(one.tail for one in mine) / count
+        for delay in queue_delays:
+            seconds.update(delay.seconds)
+        count = max(1, len(queue_delays))
+        took = sum(delay.took for delay in queue_delays) / count
+        tail = sum(delay.tail for delay in queue_delays) / count
         rows.append(
             (queue, total, late, f'{took:.2f}', f'{tail:.2f}')
             + _list_cells(seconds, count)
         )
-    heads = ('QUEUE', 'JOBS', 'LATE', 'MEAN S', 'TAIL')
-    tables.print_table(heads + _list_heads(), rows)
+    headers = ('QUEUE', 'JOBS', 'LATE', 'MEAN S', 'TAIL')
+    tables.print_table(headers + _list_headers(), rows)
 
 
 def _print_jobs(counted):
-    """Print the jobs that took the longest."""
-    slowest = sorted(counted, key=lambda one: -one.took)[:MOST_JOBS]
+    """Print the slowest jobs, with their seconds by cause."""
+    slowest = sorted(counted, key=lambda delay: -delay.took)[:MAX_LISTED_JOBS]
     rows = [
         (
-            one.job.id,
-            one.job.queue,
-            one.job.state or 'not done',
-            f'{one.job.due:.1f}',
-            f'{one.took:.2f}',
+            delay.job.id,
+            delay.job.queue,
+            delay.job.state or 'not done',
+            f'{delay.job.due:.1f}',
+            f'{delay.took:.2f}',
         )
-        + _list_cells(one.seconds, 1)
-        for one in slowest
+        + _list_cells(delay.seconds, 1)
+        for delay in slowest
     ]
-    heads = ('JOB', 'QUEUE', 'STATE', 'DUE', 'TOOK')
-    tables.print_table(heads + _list_heads(), rows)
+    headers = ('JOB', 'QUEUE', 'STATE', 'DUE', 'TOOK')
+    tables.print_table(headers + _list_headers(), rows)
 
 
-def _list_heads():
+def _list_headers():
+    """Return a column header for each cause."""
     return tuple(cause.upper() for cause in delays.CAUSES)
 
 
 def _list_cells(seconds, count):
+    """Return the mean seconds of each cause, as table cells."""
     return tuple(f'{seconds[cause] / count:.2f}' for cause in delays.CAUSES)
 
 
-def _describe(one):
-    """Return a delay as a value for JSON."""
+def _describe(delay):
+    """Return a delay as a JSON object."""
     return {
-        'job': one.job.id,
-        'queue': one.job.queue,
-        'state': one.job.state,
-        'accepted': one.job.accepted,
-        'due': one.job.due,
-        'took': one.took,
-        'late': one.is_late,
-        'tail': one.tail,
-        'seconds': dict(one.seconds),
+        'job': delay.job.id,
+        'queue': delay.job.queue,
+        'state': delay.job.state,
+        'accepted': delay.job.accepted,
+        'due': delay.job.due,
+        'took': delay.took,
+        'late': delay.is_late,
+        'tail': delay.tail,
+        'seconds': dict(delay.seconds),
     }
--- a/packages/entry/portwharf/entry/delays_test.py
+++ b/packages/entry/portwharf/entry/delays_test.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Played logs: every second of a job has one cause, and the right one."""
+"""Delays computed from log lines: each second of a job has one cause."""
 
 import json
 
 from portwharf.entry import delays
-from portwharf.entry import histories
+from portwharf.entry import job_history
 
 JOB = 'aa00'
 STEP = f'{JOB}.0.0'
@@ -13,7 +13,7 @@
 
 
 def make_line(second, message, **fields):
-    """Return a line of a log, some seconds after noon."""
+    """Return a log line that is some seconds after noon."""
     whole, part = divmod(round(second * 1000), 1000)
     clock = f'12:{whole // 60:02d}:{whole % 60:02d},{part:03d}'
     row = {
@@ -22,7 +22,7 @@
         'message': message,
         **fields,
     }
-    # Collectors put their own words first.
+    # Log collectors add a prefix.
     return f'  {second} side-1 {json.dumps(row)}\n'
 
 
@@ -34,12 +34,12 @@
 
 
 def place(second, tasks, step=STEP, vm='vm-1'):
-    """Return the line of tasks that were placed."""
+    """Return the line of placed tasks, as ``task.attempt`` numbers."""
     return make_line(second, 'placed', workload=step, vm=vm, tasks=tasks)
 
 
 def succeed(second, tasks, run_ms=None, step=STEP):
-    """Return the line of attempts that ended well."""
+    """Return the line of attempts that succeeded."""
     return make_line(
         second, 'succeeded', workload=step, tasks=tasks, run_ms=run_ms
     )
@@ -51,15 +51,15 @@
 
 
 def measure(case, *lines):
-    """Return the delay of the one job, whose causes add up."""
-    found = delays.measure_all(histories.read_lines(lines))
+    """Return the delay of the only job; its causes must add up."""
+    found = delays.measure_delays(job_history.read_lines(lines))
     case.assertEqual(len(found), 1)
     case.assertAlmostEqual(sum(found[0].seconds.values()), found[0].took)
     return found[0]
 
 
 def check(case, delay, **wanted):
-    """Check the seconds of a delay, by cause; others have none."""
+    """Check the seconds of a delay by cause; all others must be 0."""
     got = {
         cause: round(seconds, 3)
         for cause, seconds in delay.seconds.items()
@@ -69,7 +69,7 @@
     case.assertEqual(got, named)
 
 
-def test_job_of_two_steps_is_followed_back_from_its_end(case):
+def test_job_of_two_steps_is_traced_back_from_its_end(case):
     delay = measure(
         case,
         make_line(1.5, 'submit answered', request=JOB, took_ms=500),
@@ -81,11 +81,11 @@
         succeed(8.5, '0.1', 2000, NEXT),
         end(8.5),
     )
-    check(case, delay, ANSWER=0.25, ROOM=1.25, RUN=5.0, SLOW=1.0)
+    check(case, delay, SUBMIT=0.25, CAPACITY=1.25, RUN=5.0, SLOW=1.0)
     case.assertFalse(delay.is_late)
 
 
-def test_time_at_a_share_is_told_apart(case):
+def test_paced_time_is_counted_separately(case):
     delay = measure(
         case,
         accept(0),
@@ -104,7 +104,7 @@
     check(case, delay, PACED=4.5, RUN=2.0, SLOW=0.5)
 
 
-def test_attempts_that_came_to_nothing_count_by_their_reason(case):
+def test_unsuccessful_attempts_count_by_reason(case):
     task = f'{STEP}.0'
     delay = measure(
         case,
@@ -126,11 +126,11 @@
         succeed(9, '0.4', 3000),
         end(9),
     )
-    wanted = {'MOVED': 1.0, 'REST': 1.0, 'FAILED': 3.0, 'LOST': 1.0}
+    wanted = {'MOVED': 1.0, 'REST_OF_STEP': 1.0, 'FAILED': 3.0, 'LOST': 1.0}
     check(case, delay, RUN=3.0, **wanted)
 
 
-def test_task_that_is_placed_after_its_fellows_waits_for_the_rest(case):
+def test_wait_for_a_later_placement_is_rest_of_step(case):
     delay = measure(
         case,
         accept(0),
@@ -140,7 +140,7 @@
         succeed(6, '1.1', 2000),
         end(6),
     )
-    check(case, delay, ROOM=1.0, REST=3.0, RUN=2.0)
+    check(case, delay, CAPACITY=1.0, REST_OF_STEP=3.0, RUN=2.0)
 
 
 def test_tail_is_the_time_of_the_last_quarter_of_a_steps_tasks(case):
@@ -156,7 +156,7 @@
     case.assertEqual(delay.tail, 4.0)
 
 
-def test_time_without_an_owner_is_nobody_elses(case):
+def test_time_without_an_owner_has_its_own_cause(case):
     delay = measure(
         case,
         make_line(0, 'owner begins'),
@@ -166,10 +166,10 @@
         succeed(7, '0.1', 2000),
         end(7),
     )
-    check(case, delay, OWNER=3.0, ROOM=1.0, RUN=2.0)
+    check(case, delay, NO_OWNER=3.0, CAPACITY=1.0, RUN=2.0)
 
 
-def test_wait_for_something_else_than_room_is_held_back(case):
+def test_wait_for_a_reason_other_than_capacity_is_held_back(case):
     delay = measure(
         case,
         accept(0),
@@ -183,34 +183,34 @@
         succeed(4, '0.1', 2000),
         end(4),
     )
-    check(case, delay, HELD=2.0, RUN=2.0)
+    check(case, delay, HELD_BACK=2.0, RUN=2.0)
 
 
 def test_job_without_an_end_is_late_up_to_the_last_line(case):
     delay = measure(case, accept(0), place(2, '0.1'), make_line(9, 'else'))
-    check(case, delay, ROOM=2.0, UNTOLD=7.0)
+    check(case, delay, CAPACITY=2.0, UNEXPLAINED=7.0)
     case.assertTrue(delay.is_late)
 
 
 def cancel(second, status):
-    """Return the line of what a client was told of its cancelling."""
+    """Return the line of the answer to a cancellation."""
     return make_line(second, 'cancel answered', request=JOB, status=status)
 
 
-def test_cancelled_and_lasting_jobs_are_left_out(case):
+def test_cancelled_jobs_and_jobs_without_due_time_are_left_out(case):
     lines = [accept(0), end(1, 'cancelled')]
-    case.assertEqual(delays.measure_all(histories.read_lines(lines)), [])
+    case.assertEqual(delays.measure_delays(job_history.read_lines(lines)), [])
     lines = [accept(0), cancel(1, 200), end(3, 'failed')]
-    case.assertEqual(delays.measure_all(histories.read_lines(lines)), [])
+    case.assertEqual(delays.measure_delays(job_history.read_lines(lines)), [])
     lines = [accept(0, None), end(1)]
-    case.assertEqual(delays.measure_all(histories.read_lines(lines)), [])
+    case.assertEqual(delays.measure_delays(job_history.read_lines(lines)), [])
 
 
-def test_cancelling_that_was_not_carried_out_cancels_nothing(case):
+def test_failed_cancellation_does_not_cancel_a_job(case):
     delay = measure(case, accept(0), cancel(1, 504), end(4))
     case.assertEqual(delay.took, 4)
 
 
-def test_lines_that_are_no_log_are_passed_over(case):
+def test_lines_that_are_no_log_lines_are_skipped(case):
     lines = ['no json', '{"asctime": 3}', '{broken', '["a"]', accept(0)]
-    case.assertEqual(len(histories.read_lines(lines).jobs), 1)
+    case.assertEqual(len(job_history.read_lines(lines).jobs), 1)
--- a/packages/entry/portwharf/entry/histories.py
+++ b/packages/entry/portwharf/entry/job_history.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The histories of jobs, read from the logs of all processes.
+"""Reads job histories from the logs of all processes.
 
-A log is a file of lines that hold a JSON object each, whatever the collector
-has put before it. Lines of several processes may be in one file or in many,
-in any order: what counts is the time that each line gives.
+Each log line holds a JSON object, possibly after a prefix added by a log
+collector. Lines of several processes may be in one file or in many, and in
+any order: they are sorted by their timestamps.
 """
 
 import collections
@@ -13,24 +13,24 @@
 import json
 
 _MS = 1000
-# Why an attempt came to nothing, besides the states that sides tell.
+# Reasons of unsuccessful attempts besides the states reported by sides.
 MOVED = 'moved'
 LOST = 'lost'
-# How a job ended that its client gave up.
+# State of a job that its client cancelled.
 CANCELLED = 'cancelled'
-# The status of a call that was carried out.
-_DONE = 200
+# HTTP status of a successful call.
+_OK = 200
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One attempt of a task, in seconds since 1970.
+    """One attempt of a task; times are in seconds since 1970.
 
     :param placed: when the owner placed it
-    :param ended: when the owner heard of its end, or None
-    :param reason: why it came to nothing: MOVED, LOST or the state that its
-        side told; '' if it succeeded or still runs
-    :param paced: seconds that it lost to working at a share
+    :param ended: when its end was reported to the owner, or None
+    :param reason: why it was unsuccessful: MOVED, LOST or the state reported
+        by its side; '' if it succeeded or still runs
+    :param paced: seconds lost because the side slowed it down
     """
 
     placed: float = 0.0
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(slots=True)
 class StepHistory:
-    """What became of a step's tasks.
+    """Attempts and waits of the tasks of a step.
 
-    :param tasks: by task number, its attempts by their numbers
-    :param run: seconds that a task runs at full pace, or None
-    :param waits: when it had waited for long, and what for
+    :param tasks: map of task number to a map of attempts by number
+    :param run: run time in seconds of a task at full pace, or None
+    :param waits: list of (time, reason) at which it was logged as waiting
     """
 
     tasks: dict = dataclasses.field(
@@ -59,11 +59,12 @@
 
 @dataclasses.dataclass(slots=True)
 class JobHistory:
-    """What became of a job.
+    """Times, steps and final state of a job; times as in Attempt.
 
-    :param sent: when its client first sent it, as far as an entry told
-    :param due: seconds that it should take at the most
-    :param state: how it ended, '' if it did not
+    :param sent: when its client first sent it, or None if no entry logged it
+    :param due: seconds that it may add, 0 for no limit
+    :param state: final state, '' if it has not ended
+    :param steps: map of (time, number) to StepHistory
     """
 
     id: str = ''
@@ -80,10 +81,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Histories:
-    """All that the logs tell of jobs.
+    """Histories of all jobs in the logs.
 
-    :param ownerless: spans without an owner, as (begin, end)
-    :param last: the time of the last line
+    :param jobs: map of job id to JobHistory
+    :param ownerless: list of (begin, end) without an owner
+    :param last: time of the last line
     """
 
     jobs: dict = dataclasses.field(
@@ -94,88 +96,88 @@
 
 
 def read_lines(lines):
-    """Return the :class:`Histories` that log lines tell.
+    """Return the :class:`Histories` in log lines.
 
-    :param lines: texts, of any number of processes; others are passed over
+    :param lines: lines of any processes; lines that are no logs are skipped
     """
     rows = [row for row in map(_read_line, lines) if row is not None]
     rows.sort(key=lambda row: row[0])
-    made = Histories()
-    reader = _Reader(made)
+    histories = Histories()
+    reader = _Reader(histories)
     for moment, fields in rows:
-        made.last = moment
-        reader.take(moment, fields)
-    made.ownerless = reader.list_ownerless()
-    return made
+        histories.last = moment
+        reader.add(moment, fields)
+    histories.ownerless = reader.list_ownerless()
+    return histories
 
 
 class _Reader:
-    """Puts one line after the other, by time, into histories."""
+    """Adds log lines, in order of time, to histories."""
 
-    def __init__(self, made):
-        self._made = made
-        # When an owner was last heard of, and where owners changed.
+    def __init__(self, histories):
+        self._histories = histories
+        # For each owner: its start, and the time of its last decision.
         self._owners = []
-        self._takers = {
-            'submit answered': self._take_answer,
-            'cancel answered': self._take_cancel,
-            'job accepted': self._take_acceptance,
-            'job ended': self._take_end,
-            'placed': self._take_placements,
-            'succeeded': self._take_successes,
-            'attempt ended': self._take_bad_end,
-            'evicting': self._take_move,
-            'lost with its VM': self._take_loss,
-            'worked at a share': self._take_share,
-            'waits for a place': self._take_wait,
+        self._handlers = {
+            'submit answered': self._add_submission,
+            'cancel answered': self._add_cancellation,
+            'job accepted': self._add_acceptance,
+            'job ended': self._add_end,
+            'placed': self._add_placements,
+            'succeeded': self._add_successes,
+            'attempt ended': self._add_failed_attempt,
+            'evicting': self._add_eviction,
+            'lost with its VM': self._add_loss,
+            'worked at a share': self._add_paced_time,
+            'waits for a place': self._add_wait,
         }
 
-    def take(self, moment, fields):
-        """Take one line's fields."""
-        taker = self._takers.get(fields.get('message'))
-        if taker is not None:
-            taker(moment, fields)
+    def add(self, moment, fields):
+        """Add the fields of one line."""
+        handler = self._handlers.get(fields.get('message'))
+        if handler is not None:
+            handler(moment, fields)
         if fields.get('message') == 'owner begins':
             self._owners.append([moment, moment])
         elif fields.get('name', '').endswith('.decisionlog') and self._owners:
             self._owners[-1][1] = moment
 
     def list_ownerless(self):
-        """Return from when to when there was no owner that decided."""
+        """Return (begin, end) of the gaps between owners."""
         pairs = zip(self._owners, self._owners[1:], strict=False)
         return [(former[1], later[0]) for former, later in pairs]
 
-    def _take_answer(self, moment, fields):
+    def _add_submission(self, moment, fields):
         job = self._find_job(fields['request'])
         sent = moment - fields.get('took_ms', 0) / _MS
         job.sent = sent if job.sent is None else min(job.sent, sent)
 
-    def _take_cancel(self, moment, fields):
-        """Take that a client was told that its job is cancelled."""
+    def _add_cancellation(self, moment, fields):
+        """Record a cancellation that was confirmed to the client."""
         job = self._find_job(fields['request'])
-        if fields.get('status') == _DONE and job.ended is None:
+        if fields.get('status') == _OK and job.ended is None:
             job.ended = moment
             job.state = CANCELLED
 
-    def _take_acceptance(self, moment, fields):
+    def _add_acceptance(self, moment, fields):
         job = self._find_job(fields['request'])
         job.accepted = job.accepted or moment
         job.queue = fields.get('queue', '')
         job.due = (fields.get('due_ms') or 0) / _MS
 
-    def _take_end(self, moment, fields):
+    def _add_end(self, moment, fields):
         job = self._find_job(fields['request'])
         if job.state == CANCELLED:
             return
         job.ended = moment
         job.state = fields.get('state', '')
 
-    def _take_placements(self, moment, fields):
+    def _add_placements(self, moment, fields):
         for task, number in _list_attempts(fields):
             step = self._find_step(fields['workload'])
             step.tasks[task][number] = Attempt(moment, fields.get('vm', ''))
 
-    def _take_successes(self, moment, fields):
+    def _add_successes(self, moment, fields):
         step = self._find_step(fields['workload'])
         if fields.get('run_ms'):
             step.run = fields['run_ms'] / _MS
@@ -184,39 +186,39 @@
             attempt.ended = moment
             attempt.succeeded = True
 
-    def _take_bad_end(self, moment, fields):
+    def _add_failed_attempt(self, moment, fields):
         self._end_attempt(moment, fields, fields.get('state', ''))
 
-    def _take_move(self, moment, fields):
+    def _add_eviction(self, moment, fields):
         self._end_attempt(moment, fields, MOVED)
 
-    def _take_loss(self, moment, fields):
+    def _add_loss(self, moment, fields):
         self._end_attempt(moment, fields, LOST)
 
     def _end_attempt(self, moment, fields, reason):
-        """Note that an attempt came to nothing; the first reason counts."""
+        """End an attempt without success; the first reason counts."""
         attempt = self._find_attempt(fields)
         if attempt is None or attempt.succeeded or attempt.reason:
             return
         attempt.ended = moment
         attempt.reason = reason
 
-    def _take_share(self, moment, fields):
+    def _add_paced_time(self, moment, fields):
         attempt = self._find_attempt(fields)
         if attempt is not None:
             attempt.paced = fields.get('paced_ms', 0) / _MS
 
-    def _take_wait(self, moment, fields):
+    def _add_wait(self, moment, fields):
         step = self._find_step(fields['workload'])
         step.waits.append((moment, fields.get('reason', '')))
 
     def _find_job(self, name):
-        job = self._made.jobs[name]
+        job = self._histories.jobs[name]
         job.id = name
         return job
 
     def _find_step(self, workload):
-        """Return a step by its workload's id, as in ``job.time.number``."""
+        """Return the step of a workload id, as in ``job.time.number``."""
         parts = workload.rsplit('.', 2)
         if len(parts) < 3:
             return self._find_job(workload).steps[0]
@@ -232,7 +234,7 @@
 
 
 def _read_line(line):
-    """Return (seconds since 1970, fields) of a line, or None."""
+    """Return (seconds since 1970, fields) of a log line, or None."""
     begin = line.find('{')
     if begin < 0:
         return None
@@ -248,7 +250,7 @@
 
 
 def _list_attempts(fields):
-    """Return (task, attempt) numbers of a text as in ``0.1,3.2``."""
+    """Yield (task, attempt) numbers of a text like ``0.1,3.2``."""
     for part in fields.get('tasks', '').split(','):
         task, _, attempt = part.partition('.')
         if task.isdigit() and attempt.isdigit():
--- a/packages/entry/portwharf/entry/main.py
+++ b/packages/entry/portwharf/entry/main.py
@@ -1,6 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The ``portwharf`` binary: ``serve`` on entry VMs, else a client."""
+"""The ``portwharf`` binary.
+
+``serve`` runs an entry; the other commands are clients of a running entry,
+and ``check-settings`` works on files alone.
+"""
 
 import dataclasses
 import signal
@@ -9,17 +13,17 @@
 import cappa
 
 from portwharf.core import logs
-from portwharf.entry import calling
+from portwharf.entry import cli
 from portwharf.entry import cluster_commands
-from portwharf.entry import commands
-from portwharf.entry import jobfile
 from portwharf.entry import settings
+from portwharf.entry import workload_commands
+from portwharf.entry import workload_file
 
 
 @cappa.command(name='serve')
 @dataclasses.dataclass
 class Serve:
-    """Run an entry until SIGTERM, then stop without cutting calls off.
+    """Run an entry until SIGTERM, then drain and stop.
 
     Example: portwharf serve /etc/portwharf/entry.toml
     """
@@ -27,12 +31,12 @@
     settings: str
 
     def __call__(self):
-        # The client commands must not wait for what only this one needs.
+        # Imported here so that client commands start quickly.
         from portwharf.entry import process
 
         read = settings.read_settings(self.settings)
         if read.is_err():
-            calling.fail_with_problems(read.err_value)
+            cli.exit_with_problems(read.err_value)
         cfg = read.ok_value
         logs.set_up(cfg.log_style, cfg.log_level)
         logs.end_on_crash()
@@ -46,10 +50,10 @@
 @cappa.command(name='check-settings')
 @dataclasses.dataclass
 class CheckSettings:
-    """Check a settings file or a file of workloads; find every error.
+    """Check a settings file or a workload file, and list all errors.
 
-    What the file is for is told by its tables: [entry], [vm] (of a side)
-    or [[workload]].
+    The tables in the file tell its type: [entry] for an entry, [vm] for a
+    side, [[workload]] for workloads.
 
     Example: portwharf check-settings entry.toml
     """
@@ -59,26 +63,26 @@
     def __call__(self):
         read = _read_any(self.file)
         if read.is_err():
-            calling.fail_with_problems(read.err_value)
+            cli.exit_with_problems(read.err_value)
         print(f'{self.file}: good')
 
 
 @cappa.command(name='portwharf')
 @dataclasses.dataclass
 class Portwharf:
-    """Latency-critical services and batch work on the same VMs."""
+    """Schedule latency-critical services and batch work on shared VMs."""
 
     command: cappa.Subcommands[
         Serve
         | CheckSettings
-        | commands.Submit
-        | commands.Jobs
-        | commands.Services
-        | commands.Tasks
-        | commands.Cancel
-        | commands.Scale
-        | commands.Call
-        | commands.Explain
+        | workload_commands.Submit
+        | workload_commands.Jobs
+        | workload_commands.Services
+        | workload_commands.Tasks
+        | workload_commands.Cancel
+        | workload_commands.Scale
+        | workload_commands.Call
+        | workload_commands.Explain
         | cluster_commands.Config
         | cluster_commands.Status
         | cluster_commands.Report
@@ -86,15 +90,16 @@
 
 
 def _read_any(path):
+    """Read a file with the reader for its type."""
     try:
         with open(path) as source:
             text = source.read()
     except (OSError, UnicodeDecodeError):
         text = ''
     if '[[workload]]' in text:
-        return jobfile.read_file(path)
+        return workload_file.read_file(path)
     if '[vm]' in text:
-        # Found only where the side is installed as well.
+        # The side is an optional package on entry VMs.
         from portwharf.side import settings as side_settings
 
         return side_settings.read_settings(path)
--- a/packages/entry/portwharf/entry/main_test.py
+++ b/packages/entry/portwharf/entry/main_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The command line as a person meets it: examples good, mistakes told."""
+"""The command line: examples are valid and mistakes are reported."""
 
 import contextlib
 import io
@@ -11,15 +11,15 @@
 
 import cappa
 
-from portwharf.entry import calling
+from portwharf.entry import charts
+from portwharf.entry import cli
 from portwharf.entry import main
-from portwharf.entry import pictures
 
 EXAMPLES = pathlib.Path(__file__).parents[4] / 'examples'
 
 
 def run(*argv):
-    """Run a command line; returns exit code, output and errors."""
+    """Run a command line; returns exit code, stdout and stderr."""
     out, err = io.StringIO(), io.StringIO()
     code = 0
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
@@ -31,7 +31,7 @@
 
 
 def write_changed(case, name, *pairs):
-    """Write an example with changes; returns its path."""
+    """Write a copy of an example with replacements; returns its path."""
     text = (EXAMPLES / name).read_text()
     for old, new in pairs:
         case.assertIn(old, text)
@@ -42,14 +42,14 @@
     return str(path)
 
 
-def test_examples_are_good(case):
+def test_examples_are_valid(case):
     for name in ('entry.toml', 'side.toml', 'overnight.toml'):
         code, out, err = run('check-settings', str(EXAMPLES / name))
         case.assertEqual((code, err), (0, ''))
         case.assertIn('good', out)
 
 
-def test_all_mistakes_of_a_job_file_are_told(case):
+def test_all_errors_in_a_workload_file_are_reported(case):
     path = write_changed(
         case,
         'overnight.toml',
@@ -60,13 +60,13 @@
         ('name = "overnight"', 'name = "over night"'),
     )
     code, _, err = run('submit', path, '--entry', '127.0.0.1:1')
-    case.assertEqual(code, calling.EXIT_USAGE)
+    case.assertEqual(code, cli.EXIT_USAGE)
     for field in ('kind', 'count', 'resources.cpus', 'importance', 'name'):
         case.assertIn(f'workload.0.{field}: ', err)
     case.assertIn('did you mean "cpu_milli"?', err)
 
 
-def test_mistakes_of_entry_settings_are_told(case):
+def test_errors_in_entry_settings_are_reported(case):
     path = write_changed(
         case,
         'entry.toml',
@@ -74,26 +74,26 @@
         ('threads', 'treads'),
     )
     code, _, err = run('check-settings', path)
-    case.assertEqual(code, calling.EXIT_USAGE)
+    case.assertEqual(code, cli.EXIT_USAGE)
     case.assertIn('entry.address: must be an IP number', err)
     case.assertIn('did you mean "threads"?', err)
 
 
-def test_missing_entry_address_is_told(case):
+def test_malformed_entry_address_is_reported(case):
     code, _, err = run('jobs', '--entry', 'somewhere')
-    case.assertEqual(code, calling.EXIT_USAGE)
+    case.assertEqual(code, cli.EXIT_USAGE)
     case.assertIn('must be IP:PORT', err)
 
 
 def test_unreachable_entry_has_an_exit_code_of_its_own(case):
     code, _, err = run('jobs', '--entry', '127.0.0.1:1')
-    case.assertEqual(code, calling.EXIT_UNREACHABLE)
+    case.assertEqual(code, cli.EXIT_UNREACHABLE)
     case.assertIn('unreachable', err)
 
 
-def test_picture_without_its_library_names_the_remedy(case):
+def test_chart_without_matplotlib_names_the_remedy(case):
     with mock.patch.dict(sys.modules, {'matplotlib': None}):
-        drawn = pictures.draw_burn([], 'burn.png')
+        drawn = charts.draw_burn_chart([], 'burn.png')
     case.assertIn('requirements-pictures.txt', drawn.err_value.remedy)
 
 
--- a/packages/entry/portwharf/entry/settings.py
+++ b/packages/entry/portwharf/entry/settings.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The settings of ``portwharf serve``, from one TOML file."""
+"""Settings of ``portwharf serve``, read from a TOML file."""
 
 import dataclasses
 
@@ -38,8 +38,9 @@
 class EntrySettings:
     """All settings of an entry.
 
-    :param threads: calls that are carried out at a time
-    :param tls: TlsFiles, or None for plain text
+    :param threads: worker threads, which bounds the concurrent calls
+    :param shards: number of shards
+    :param tls: TlsFiles, or None for unencrypted connections
     """
 
     vm: data.Vm = None
--- a/packages/entry/portwharf/entry/tables.py
+++ b/packages/entry/portwharf/entry/tables.py
@@ -1,13 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Tables for people: columns as wide as their widest cell."""
+"""Plain-text tables and cell formats for terminal output."""
 
 import datetime
 
 
-def print_table(heads, rows):
-    """Print rows of cells under their heads."""
-    cells = [[str(cell) for cell in row] for row in (heads, *rows)]
+def print_table(headers, rows):
+    """Print rows under column headers, each column as wide as needed."""
+    cells = [[str(cell) for cell in row] for row in (headers, *rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     for row in cells:
         parts = zip(row, widths, strict=True)
@@ -15,7 +15,7 @@
 
 
 def format_time(unix_ms):
-    """Return a wall time as UTC text to the second."""
+    """Format Unix milliseconds as UTC with seconds; '-' for 0."""
     if not unix_ms:
         return '-'
     moment = datetime.datetime.fromtimestamp(
@@ -24,9 +24,13 @@
     return moment.strftime('%Y-%m-%d %H:%M:%SZ')
 
 
-def format_size(size):
-    """Return a schema ``Resources`` as short text."""
-    if size is None:
+def format_resources(resources):
+    """Format a schema ``Resources``; '-' for None."""
+    if resources is None:
         return '-'
-    text = f'{size.cpu_milli / 1000:g}cpu {size.memory_mb}MB'
-    return f'{text} {size.accelerators}acc' if size.accelerators else text
+    text = f'{resources.cpu_milli / 1000:g}cpu {resources.memory_mb}MB'
+    return (
+        f'{text} {resources.accelerators}acc'
+        if resources.accelerators
+        else text
+    )
--- a/packages/entry/portwharf/entry/commands.py
+++ b/packages/entry/portwharf/entry/workload_commands.py
@@ -1,6 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The operators' commands about work: each a client of the RPC."""
+"""Operator commands for workloads and tasks, and ``call`` for services.
+
+Each command is a client of the operator or the caller RPC.
+"""
 
 import dataclasses
 import json
@@ -10,14 +13,14 @@
 import cappa
 
 from portwharf.core import ids
-from portwharf.entry import calling
-from portwharf.entry import jobfile
+from portwharf.entry import cli
 from portwharf.entry import tables
+from portwharf.entry import workload_file
 from portwharf.operators import convert
 from portwharf.v1 import callers_pb
 from portwharf.v1 import operators_pb as pb
 
-_CALLERS = 'portwharf.v1.CallerService'
+_CALLER_SERVICE = 'portwharf.v1.CallerService'
 
 
 @cappa.command(name='submit')
@@ -25,21 +28,22 @@
 class Submit:
     """Submit the workloads of a TOML file.
 
-    The whole file is checked before anything is sent. Sending it again
-    makes nothing twice: the key, or team and name, tell.
+    The whole file is checked before anything is sent. Submitting it again
+    creates no duplicates: the key, or else team and name, identifies a
+    workload.
 
     Example: portwharf submit surfacing.toml --entry 10.0.0.5:7000
     """
 
     file: str
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
-        read = jobfile.read_file(self.file)
+        read = workload_file.read_file(self.file)
         if read.is_err():
-            calling.fail_with_problems(read.err_value)
-        rows = [self._submit(one) for one in read.ok_value]
+            cli.exit_with_problems(read.err_value)
+        rows = [self._submit(declared) for declared in read.ok_value]
         if self.json:
             print(json.dumps(rows))
             return
@@ -47,17 +51,18 @@
             verb = 'accepted' if row['created'] else 'was there already'
             print(f'{row["name"]}: {verb}, id {row["id"]}')
 
-    def _submit(self, one):
+    def _submit(self, declared):
         req = pb.CreateWorkloadRequest(
-            workload=convert.write_workload(one.workload), key=one.key
+            workload=convert.write_workload(declared.workload),
+            key=declared.key,
         )
-        made = calling.call_entry(
+        created = cli.call_entry(
             self.entry, 'CreateWorkload', req, pb.CreateWorkloadResponse
         )
         return {
-            'name': one.workload.key,
-            'id': made.id,
-            'created': made.created,
+            'name': declared.workload.key,
+            'id': created.id,
+            'created': created.created,
         }
 
 
@@ -70,11 +75,11 @@
     """
 
     team: typing.Annotated[str, cappa.Arg(long='--team')] = ''
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
-        _list(self, (pb.Kind.BATCH, pb.Kind.STANDING))
+        _print_workloads(self, (pb.Kind.BATCH, pb.Kind.STANDING))
 
 
 @cappa.command(name='services')
@@ -86,11 +91,11 @@
     """
 
     team: typing.Annotated[str, cappa.Arg(long='--team')] = ''
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
-        _list(self, (pb.Kind.SERVICE,))
+        _print_workloads(self, (pb.Kind.SERVICE,))
 
 
 @cappa.command(name='tasks')
@@ -102,16 +107,16 @@
     """
 
     workload: str
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
         req = pb.ListTasksRequest(workload_id=self.workload)
-        listed = calling.call_entry(
+        listed = cli.call_entry(
             self.entry, 'ListTasks', req, pb.ListTasksResponse
         )
         if self.json:
-            calling.print_json(listed)
+            cli.print_json(listed)
             return
         tables.print_table(
             ('TASK', 'STATE', 'ATTEMPT', 'VM', 'EVICTED', 'RESULT'),
@@ -132,30 +137,30 @@
 @cappa.command(name='cancel')
 @dataclasses.dataclass
 class Cancel:
-    """Cancel a workload by its id; what has ended stays as it is.
+    """Cancel the unfinished tasks of a workload.
 
     Example: portwharf cancel 0-0190a7d4-...
     """
 
     workload: str
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
         req = pb.CancelWorkloadRequest(id=self.workload)
-        done = calling.call_entry(
+        answer = cli.call_entry(
             self.entry, 'CancelWorkload', req, pb.CancelWorkloadResponse
         )
         if self.json:
-            calling.print_json(done)
+            cli.print_json(answer)
             return
-        print(f'cancelled: {done.cancelled} tasks had not ended')
+        print(f'cancelled: {answer.cancelled} tasks had not ended')
 
 
 @cappa.command(name='scale')
 @dataclasses.dataclass
 class Scale:
-    """Change a workload's count, its importance, or both.
+    """Change the count or the importance of a workload, or both.
 
     Example: portwharf scale 0-0190a7d4-... --count 12
     """
@@ -163,26 +168,26 @@
     workload: str
     count: typing.Annotated[int, cappa.Arg(long='--count')] = 0
     importance: typing.Annotated[int, cappa.Arg(long='--importance')] = -1
-    entry: calling.Entry = ''
+    entry: cli.EntryOption = ''
 
     def __call__(self):
-        listed = calling.call_entry(
+        listed = cli.call_entry(
             self.entry,
             'ListWorkloads',
             pb.ListWorkloadsRequest(),
             pb.ListWorkloadsResponse,
         )
-        known = [s for s in listed.workloads if s.id == self.workload]
-        if not known:
+        matching = [s for s in listed.workloads if s.id == self.workload]
+        if not matching:
             print(f'not_found: id: {self.workload}', file=sys.stderr)
-            sys.exit(calling.EXIT_REFUSED)
-        workload = known[0].workload
+            sys.exit(cli.EXIT_REFUSED)
+        workload = matching[0].workload
         if self.count > 0:
             workload.count = self.count
         if self.importance >= 0:
             workload.importance = self.importance
         req = pb.UpdateWorkloadRequest(id=self.workload, workload=workload)
-        calling.call_entry(
+        cli.call_entry(
             self.entry, 'UpdateWorkload', req, pb.UpdateWorkloadResponse
         )
         print('changed')
@@ -193,7 +198,7 @@
 class Call:
     """Send one request to a service and print the answer.
 
-    Exit code 0 answered, 1 failed or not run, 3 unknown.
+    Exit codes: 0 answered, 1 failed or not run, 3 unknown.
 
     Example: portwharf call lens/fit-check --payload '{"bridge_mm": 18}'
     """
@@ -210,8 +215,8 @@
         bool, cappa.Arg(long='--once', help='It must run at most once.')
     ] = False
     deadline_ms: typing.Annotated[int, cappa.Arg(long='--deadline-ms')] = 5000
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
         req = callers_pb.CallRequest(
@@ -222,74 +227,75 @@
             sent_before=bool(self.id),
             payload=self.payload.encode(),
         )
-        done = calling.call_entry(
-            self.entry, 'Call', req, callers_pb.CallResponse, _CALLERS
+        reply = cli.call_entry(
+            self.entry, 'Call', req, callers_pb.CallResponse, _CALLER_SERVICE
         )
         if self.json:
-            calling.print_json(done)
+            cli.print_json(reply)
         else:
-            print(f'{done.outcome.name.lower()} {done.reason} {done.advice}')
-            print(bytes(done.payload).decode(errors='replace'))
-        sys.exit(_CALL_EXITS[done.outcome])
+            print(
+                f'{reply.outcome.name.lower()} {reply.reason} {reply.advice}'
+            )
+            print(bytes(reply.payload).decode(errors='replace'))
+        sys.exit(_CALL_EXIT_CODES[reply.outcome])
 
 
-_CALL_EXITS = {
+_CALL_EXIT_CODES = {
     callers_pb.Outcome.ANSWERED: 0,
-    callers_pb.Outcome.NOT_RUN: calling.EXIT_REFUSED,
-    callers_pb.Outcome.FAILED: calling.EXIT_REFUSED,
-    callers_pb.Outcome.UNKNOWN: calling.EXIT_UNREACHABLE,
+    callers_pb.Outcome.NOT_RUN: cli.EXIT_REFUSED,
+    callers_pb.Outcome.FAILED: cli.EXIT_REFUSED,
+    callers_pb.Outcome.UNKNOWN: cli.EXIT_UNREACHABLE,
 }
 
 
 @cappa.command(name='explain')
 @dataclasses.dataclass
 class Explain:
-    """Tell what was decided about a workload or task, and why.
+    """Show the decisions about a workload or task and their reasons.
 
-    Takes an id, or "team/name" of a workload that was refused.
+    Takes an id, or "team/name" for a workload that was refused.
 
     Example: portwharf explain 0-0190a7d4-....3
     """
 
     id: str
-    entry: calling.Entry = ''
-    json: calling.Json = False
+    entry: cli.EntryOption = ''
+    json: cli.JsonOption = False
 
     def __call__(self):
         req = pb.ExplainRequest(id=self.id)
-        found = calling.call_entry(
-            self.entry, 'Explain', req, pb.ExplainResponse
-        )
+        found = cli.call_entry(self.entry, 'Explain', req, pb.ExplainResponse)
         if self.json:
-            calling.print_json(found)
+            cli.print_json(found)
             return
         print(f'{found.subject}: {found.state}')
         for decision in found.decisions:
             _print_decision(decision)
 
 
-def _list(command, kinds):
+def _print_workloads(command, kinds):
+    """List the workloads of some kinds, as a table or as JSON."""
     req = pb.ListWorkloadsRequest(team=command.team)
-    listed = calling.call_entry(
+    listed = cli.call_entry(
         command.entry, 'ListWorkloads', req, pb.ListWorkloadsResponse
     )
-    chosen = [s for s in listed.workloads if s.workload.kind in kinds]
+    statuses = [s for s in listed.workloads if s.workload.kind in kinds]
     if command.json:
-        calling.print_json(pb.ListWorkloadsResponse(workloads=chosen))
+        cli.print_json(pb.ListWorkloadsResponse(workloads=statuses))
         return
     tables.print_table(
         ('ID', 'WORKLOAD', 'KIND', 'WAITING', 'RUNNING', 'DONE', 'FAILED'),
         [
             (
-                one.id,
-                f'{one.workload.team}/{one.workload.name}',
-                one.workload.kind.name.lower(),
-                one.waiting,
-                one.running,
-                one.succeeded,
-                one.failed,
+                status.id,
+                f'{status.workload.team}/{status.workload.name}',
+                status.workload.kind.name.lower(),
+                status.waiting,
+                status.running,
+                status.succeeded,
+                status.failed,
             )
-            for one in chosen
+            for status in statuses
         ],
     )
 
--- a/packages/entry/portwharf/entry/jobfile.py
+++ b/packages/entry/portwharf/entry/workload_file.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The TOML files that operators declare workloads in."""
+"""Reads the TOML files in which operators declare workloads."""
 
 import voluptuous
 
@@ -16,14 +16,14 @@
 
 
 def text(value):
-    """Accept text."""
+    """Validate a string."""
     if not isinstance(value, str):
         raise settings.Invalid('must be text in quotes')
     return value
 
 
-def flag(value):
-    """Accept true or false."""
+def boolean(value):
+    """Validate a boolean."""
     if not isinstance(value, bool):
         raise settings.Invalid('must be true or false')
     return value
@@ -60,17 +60,17 @@
                 ),
                 voluptuous.Optional('run_seconds', default=0): _SECONDS,
                 voluptuous.Optional('deadline_seconds', default=0): _SECONDS,
-                voluptuous.Optional('checkpointable', default=False): flag,
-                voluptuous.Optional('overlap_allowed', default=False): flag,
-                voluptuous.Optional('urgent', default=False): flag,
+                voluptuous.Optional('checkpointable', default=False): boolean,
+                voluptuous.Optional('overlap_allowed', default=False): boolean,
+                voluptuous.Optional('urgent', default=False): boolean,
             }
         ]
     }
 )
 
 
-class Declaration:
-    """One workload of a file and the operator's key for it."""
+class DeclaredWorkload:
+    """A workload of a file, with its idempotency key or an empty string."""
 
     __slots__ = ('key', 'workload')
 
@@ -82,7 +82,7 @@
 def read_file(path):
     """Read and check a file of workloads.
 
-    :returns: Ok(list of Declaration), or Err(list of Problems)
+    :returns: Ok(list of DeclaredWorkload), or Err(list of Problems)
     """
     return settings.read_file(path, SCHEMA).map(_read_all)
 
@@ -97,4 +97,4 @@
     fields['kind'] = KINDS[fields['kind']]
     fields['resources'] = data.Resources(**fields['resources'])
     fields['argument'] = fields['argument'].encode()
-    return Declaration(key, data.Workload(**fields))
+    return DeclaredWorkload(key, data.Workload(**fields))
