--- a/packages/entry/portwharf/entry/fellows.py
+++ b/packages/entry/portwharf/entry/entry_peers.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What entries tell each other, for reports to operators.
+"""Exchange of configuration revisions and request counts between entries.
 
-Each entry serves ``/internal/entry`` with the configuration in force and
-its request counts; the one that an operator asks gathers the others'. An
-entry that does not answer is left out: it will not hold up a report.
+Each entry serves its own at ``/internal/entry``. The entry that an operator
+asks for a report collects those of all other entries, and leaves out an
+entry that does not answer, so that it cannot delay the report.
 """
 
 import dataclasses
@@ -20,12 +20,12 @@
 LOG = logging.getLogger(__name__)
 
 PATH = '/internal/entry'
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class EntryPage:
-    """What one entry tells the others."""
+    """Configuration revision and request counts of one entry."""
 
     name: str = ''
     config_revision: int = 0
@@ -34,16 +34,20 @@
     )
 
 
-class Fellows:
-    """The other entries, by the VM list."""
+class EntryPeers:
+    """Reads the pages of the other entries on the VM list."""
 
     def __init__(self, name, vmlist, make_page):
-        """Take our name, the VM list and a function giving our page."""
+        """Create a reader.
+
+        :param name: name of this entry
+        :param make_page: returns this entry's :class:`EntryPage`
+        """
         self._name = name
         self._vmlist = vmlist
         self._make_page = make_page
         self._http = urllib3.PoolManager(
-            num_pools=8, retries=False, timeout=CALL_SECONDS
+            num_pools=8, retries=False, timeout=CALL_TIMEOUT_SECONDS
         )
 
     def read_all(self):
@@ -59,7 +63,7 @@
         return [page for page in pages if page is not None]
 
     def read_with_own(self):
-        """Return the pages of all entries that answer, with ours."""
+        """Return the pages of this entry and of the others that answer."""
         return [self._make_page(), *self.read_all()]
 
     def _read(self, vm):
--- a/packages/entry/portwharf/entry/process.py
+++ b/packages/entry/portwharf/entry/process.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The whole entry process, put together from its parts."""
+"""The entry process."""
 
 import contextlib
 import logging
@@ -12,10 +12,10 @@
 from portwharf.core import ids
 from portwharf.core import stops
 from portwharf.core import web
-from portwharf.entry import fellows
+from portwharf.entry import entry_peers
 from portwharf.entry import metrics
 from portwharf.entry import routing
-from portwharf.entry import shards
+from portwharf.entry import shard_backend
 from portwharf.entry import sides
 from portwharf import operators
 from portwharf.peers import messages
@@ -29,23 +29,23 @@
 
 LOG = logging.getLogger(__name__)
 
-# How long the balancer is given to see that this entry is not ready.
-LEAVE_SECONDS = 2.0
+# Time for the balancer to see that this entry is not ready.
+UNREADY_SECONDS = 2.0
 DRAIN_SECONDS = 60
 
 
 class EntryProcess:
-    """An entry, while in its block."""
+    """Runs an entry; a context manager."""
 
     def __init__(self, cfg):
-        """Take checked :class:`settings.EntrySettings`."""
+        """Create an entry from checked :class:`settings.EntrySettings`."""
         self._cfg = cfg
         self._stack = contextlib.ExitStack()
         self._stopping = threading.Event()
         self._clock = clock.SystemClock()
         self._keeper = configuration.ConfigKeeper()
         self._instance = ids.make_nonce()
-        self._calls = _CallCounter()
+        self._calls = _ActiveCalls()
         self._burn = callers.BurnCounter(
             self._clock, lambda name: self._keeper.read().targets.get(name)
         )
@@ -57,16 +57,16 @@
         return self
 
     def __exit__(self, *exc_info):
-        threading.Event().wait(LEAVE_SECONDS)
+        threading.Event().wait(UNREADY_SECONDS)
         self._calls.wait_until_idle(DRAIN_SECONDS)
         self._stack.close()
 
     def stop(self):
-        """Ask for a planned stop; safe in a signal handler."""
+        """Request a graceful stop; safe in a signal handler."""
         self._stopping.set()
 
     def wait(self):
-        """Wait until a planned stop is asked for."""
+        """Wait until a stop is requested."""
         stops.wait_until_asked(self._stopping)
 
     def _start_parts(self):
@@ -88,9 +88,9 @@
                 self._keeper,
             )
         )
-        entries = fellows.Fellows(cfg.vm.name, listing, self._make_page)
-        backend = shards.ShardBackend(
-            cfg, self._links, kv, self._keeper, entries, self._clock
+        peers = entry_peers.EntryPeers(cfg.vm.name, listing, self._make_page)
+        backend = shard_backend.ShardBackend(
+            cfg, self._links, kv, self._keeper, peers, self._clock
         )
         router = routing.EndpointRouter(
             self._links, self._clock, cfg.vm.availability_zone, self._observe
@@ -102,7 +102,7 @@
         LOG.info('entry %s ready', cfg.vm.name)
 
     def _make_app(self, backend, router):
-        """Return the WSGI application of all that an entry serves."""
+        """Return the WSGI application for RPC, entry pages and health."""
         operator_app = operators_connect.OperatorServiceWSGIApplication(
             operators.OperatorService(backend)
         )
@@ -117,7 +117,7 @@
                 return self._calls.run(operator_app, environ, start_response)
             if path.startswith(caller_app.path):
                 return self._calls.run(caller_app, environ, start_response)
-            if path == fellows.PATH:
+            if path == entry_peers.PATH:
                 page = codec.to_map(self._make_page())
                 return web.answer_json(start_response, 200, page)
             return pages(environ, start_response)
@@ -125,14 +125,16 @@
         return serve
 
     def _is_ready(self):
-        return not self._stopping.is_set() and self._links.listed.is_set()
+        return (
+            not self._stopping.is_set() and self._links.vmlist_loaded.is_set()
+        )
 
     def _observe(self, service, outcome, seconds):
         metrics.observe_request(service, outcome, seconds)
         self._burn.observe(service, outcome, seconds)
 
     def _make_page(self):
-        return fellows.EntryPage(
+        return entry_peers.EntryPage(
             self._cfg.vm.name,
             self._keeper.read().revision,
             self._burn.list_services(),
@@ -144,15 +146,15 @@
         )
 
 
-class _CallCounter:
-    """Counts the calls that are being carried out."""
+class _ActiveCalls:
+    """Counts the calls in progress."""
 
     def __init__(self):
         self._changed = threading.Condition()
         self._running = 0
 
     def run(self, app, environ, start_response):
-        """Run a WSGI application and count it until its body is made."""
+        """Run a WSGI application, counting it until its body is complete."""
         with self._changed:
             self._running += 1
         try:
@@ -163,6 +165,6 @@
                 self._changed.notify_all()
 
     def wait_until_idle(self, timeout):
-        """Wait until no call is carried out, or time is up."""
+        """Wait until no call is in progress, or until the timeout."""
         with self._changed:
             self._changed.wait_for(lambda: self._running == 0, timeout)
--- a/packages/entry/portwharf/entry/routing.py
+++ b/packages/entry/portwharf/entry/routing.py
@@ -1,12 +1,14 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Which endpoint a request goes to, and what becomes of it.
+"""Routes requests to endpoints, with retries.
 
-Two endpoints are drawn at random and the one that is expected to answer
-sooner gets the request: nearly as good as asking all, and entries that know
-the same old loads do not all rush to one. A request that did not run goes
-to another endpoint while a budget for retries lasts. One that may have run
-is sent again only if its caller declared it repeatable.
+Of two random endpoints the one with the shorter expected response time gets
+the request (power of two choices): nearly as good as comparing all, and
+entries with the same outdated loads do not all choose the same endpoint. A
+request that did not run is retried on another endpoint within a retry
+budget. A request that may have run is retried only if its caller declared
+it repeatable. A request that is not repeatable goes only to its home, the
+endpoint that the roster assigns to its id.
 """
 
 import logging
@@ -16,63 +18,67 @@
 from portwharf import callers
 from portwharf.core import data
 from portwharf.core import logs
-from portwharf.entry import gate
+from portwharf.entry import limiter
 from portwharf.entry import ratings
 from portwharf.peers import messages
 
 LOG = logging.getLogger(__name__)
 
 MAX_ATTEMPTS = 4
-# A retry costs what this many first sendings earn.
-RETRY_COST = 5
-# Retries that can be saved up for a bad moment.
-RETRY_SAVINGS = 20
-# An endpoint in another availability zone is taken to need so much longer:
-# two ways more, and a share, to keep requests near while that costs little.
+# Each first attempt earns one token of the retry budget.
+TOKENS_PER_RETRY = 5
+# Upper bound of the budget, for bursts of failures.
+MAX_SAVED_RETRIES = 20
+# Penalty on the estimate of an endpoint in another availability zone: the
+# round trip, and a factor that prefers the own zone at similar load.
 OTHER_ZONE_SECONDS = 0.003
 OTHER_ZONE_FACTOR = 1.15
-# How soon a caller may come back when nothing serves the service.
-NO_ENDPOINT_MS = 500
+# Retry-after for callers when no endpoint serves the service.
+NO_ENDPOINT_RETRY_AFTER_MS = 500
 
 REASON_NO_ENDPOINT = 'no-endpoint-serves-it'
 REASON_DEADLINE = 'deadline'
-REASON_BUDGET = 'too-many-retries'
+REASON_RETRY_BUDGET = 'too-many-retries'
 REASON_OVERLOAD = 'service-is-overloaded'
-# Sendings of a not-repeatable request whose home is changing.
-HOME_ATTEMPTS = 4
-HOME_PAUSE_SECONDS = 0.3
-_HOME_MOVED = frozenset(('not-the-home-of-this-id', 'home-is-not-confirmed'))
+# Attempts of a request that is not repeatable while its home changes.
+MAX_HOME_ATTEMPTS = 4
+HOME_RETRY_DELAY_SECONDS = 0.3
+_HOME_CHANGED_REASONS = frozenset(
+    ('not-the-home-of-this-id', 'home-is-not-confirmed')
+)
 _MS = 1000
 
 
 class RetryBudget:
-    """Bounds retries to a share of the requests, with some savings."""
+    """Token bucket that limits retries to a share of the requests."""
 
     def __init__(self):
         self._lock = threading.Lock()
-        self._savings = RETRY_SAVINGS * RETRY_COST
+        self._tokens = MAX_SAVED_RETRIES * TOKENS_PER_RETRY
 
     def earn(self):
-        """Count a first sending."""
+        """Add a token for a first attempt."""
         with self._lock:
-            most = RETRY_SAVINGS * RETRY_COST
-            self._savings = min(most, self._savings + 1)
+            most = MAX_SAVED_RETRIES * TOKENS_PER_RETRY
+            self._tokens = min(most, self._tokens + 1)
 
     def spend(self):
-        """Take a retry out of the budget; False if there is none."""
+        """Pay for a retry; returns False if the tokens do not suffice."""
         with self._lock:
-            if self._savings < RETRY_COST:
+            if self._tokens < TOKENS_PER_RETRY:
                 return False
-            self._savings -= RETRY_COST
+            self._tokens -= TOKENS_PER_RETRY
             return True
 
 
 class EndpointRouter(callers.Router):
-    """Routes requests over an entry's links."""
+    """Routes requests over an entry's links to sides."""
 
     def __init__(self, links, clock, zone, observe):
-        """Take the ``LinkTable``, a clock and our availability zone.
+        """Create a router.
 
+        :param links: the entry's ``sides.LinkTable``
+        :param zone: availability zone of this entry
         :param observe: called with service, outcome and seconds
         """
         self._links = links
@@ -80,8 +86,8 @@
         self._zone = zone
         self._observe = observe
         self._budget = RetryBudget()
-        self._ratings = ratings.Ratings(clock)
-        self._gate = gate.Gate(clock)
+        self._ratings = ratings.EndpointRatings(clock)
+        self._gate = limiter.ConcurrencyLimiter(clock)
         self._random = random.Random()
         self._pause = threading.Event()
 
@@ -90,20 +96,20 @@
         deadline = began + call.deadline_ms / _MS
         done = self._pass_gate(call, deadline)
         if done.outcome == data.Outcome.NOT_RUN:
-            _doubt(call, done)
+            _mark_unknown_if_unproved(call, done)
         spent = self._clock.read_monotonic() - began
         self._observe(call.service, done.outcome, spent)
         return done
 
     def _pass_gate(self, call, deadline):
-        """Carry a request out, unless there is too much under way."""
+        """Route a request unless the concurrency limit refuses it."""
         admitted = self._gate.enter(call.service, call.caller)
-        call.excess = admitted is gate.Admitted.EXCESS
-        if admitted is gate.Admitted.NO:
+        call.excess = admitted is limiter.Admission.EXCESS
+        if admitted is limiter.Admission.REFUSED:
             return callers.CallResult(
                 data.Outcome.NOT_RUN,
                 reason=REASON_OVERLOAD,
-                retry_after_ms=gate.RETRY_MS,
+                retry_after_ms=limiter.RETRY_AFTER_MS,
             )
         try:
             self._budget.earn()
@@ -117,7 +123,7 @@
         done = callers.CallResult(
             data.Outcome.NOT_RUN, reason=REASON_NO_ENDPOINT
         )
-        done.retry_after_ms = NO_ENDPOINT_MS
+        done.retry_after_ms = NO_ENDPOINT_RETRY_AFTER_MS
         tried = set()
         maybe_ran = False
         for attempt in range(MAX_ATTEMPTS):
@@ -125,41 +131,44 @@
             if link is None:
                 return done
             if attempt and not self._budget.spend():
-                done.reason = done.reason or REASON_BUDGET
+                done.reason = done.reason or REASON_RETRY_BUDGET
                 return done
             tried.add(link.name)
             done = self._send(link, call, deadline)
             maybe_ran = maybe_ran or done.outcome == data.Outcome.UNKNOWN
             done.maybe_ran = maybe_ran
-            if not _may_retry(call, done):
+            if not _is_retryable(call, done):
                 return done
             if self._clock.read_monotonic() >= deadline:
                 return done
         return done
 
     def _try_home(self, call, deadline):
-        """Send a not-repeatable request to its home, and nowhere else."""
+        """Send a request that is not repeatable to its home only."""
         done = callers.CallResult(
             data.Outcome.NOT_RUN, reason=REASON_NO_ENDPOINT
         )
-        done.retry_after_ms = NO_ENDPOINT_MS
-        for _ in range(HOME_ATTEMPTS):
+        done.retry_after_ms = NO_ENDPOINT_RETRY_AFTER_MS
+        for _ in range(MAX_HOME_ATTEMPTS):
             link = self._links.find_home(call.id, call.service)
             if link is None or not link.view.up:
                 return done
             done = self._send(link, call, deadline)
-            if done.reason not in _HOME_MOVED:
+            if done.reason not in _HOME_CHANGED_REASONS:
                 return done
-            # The roster is changing under way: the next one will be here.
-            self._pause.wait(HOME_PAUSE_SECONDS)
+            # The roster is changing: wait for the next one.
+            self._pause.wait(HOME_RETRY_DELAY_SECONDS)
             if self._clock.read_monotonic() >= deadline:
                 return done
         return done
 
     def _choose(self, service, tried):
-        """Return the better of two random endpoints, or None."""
+        """Return the link to the better of two random endpoints, or None.
+
+        Ejected endpoints are used only if no other is left.
+        """
         serving = self._links.list_serving(service)
-        usable = self._ratings.choose_usable(serving)
+        usable = self._ratings.list_usable(serving)
         fresh = [link for link in usable if link.name not in tried]
         if not fresh:
             fresh = [link for link in serving if link.name not in tried]
@@ -168,16 +177,16 @@
         if len(fresh) == 1:
             return fresh[0]
         pair = self._random.sample(fresh, 2)
-        return min(pair, key=self._weigh)
+        return min(pair, key=self._estimate_seconds)
 
-    def _weigh(self, link):
-        seconds = self._ratings.estimate(link)
+    def _estimate_seconds(self, link):
+        seconds = self._ratings.estimate_seconds(link)
         if link.view.vm.availability_zone != self._zone:
             seconds = seconds * OTHER_ZONE_FACTOR + OTHER_ZONE_SECONDS
         return seconds
 
     def _send(self, link, call, deadline):
-        """Send a request to one side and wait for what becomes of it."""
+        """Make one attempt and record its result."""
         left = deadline - self._clock.read_monotonic()
         if left <= 0:
             return callers.CallResult(
@@ -217,19 +226,19 @@
                 reason=REASON_DEADLINE,
                 endpoint=link.name,
             )
-        return _read_exchange(exchange, call, link.name)
+        return _make_result(exchange, call, link.name)
 
 
-def _read_exchange(exchange, call, endpoint):
-    """Return what an ended exchange says of its request."""
-    if exchange.lost:
+def _make_result(exchange, call, endpoint):
+    """Return the :class:`CallResult` of an exchange that has ended."""
+    if exchange.failure:
         return callers.CallResult(
-            data.Outcome.UNKNOWN, reason=exchange.lost, endpoint=endpoint
+            data.Outcome.UNKNOWN, reason=exchange.failure, endpoint=endpoint
         )
     answer = exchange.answer
     if answer.request != call.id:
         extra = logs.fields(request=call.id, peer=endpoint)
-        LOG.error('answer of another request', extra=extra)
+        LOG.error('answer for another request', extra=extra)
         return callers.CallResult(
             data.Outcome.UNKNOWN,
             reason='answer-of-another-request',
@@ -241,20 +250,20 @@
         answer.reason,
         answer.retry_after_ms,
         endpoint,
-        # A home answers for all sendings of an id.
+        # A home answers for all attempts of an id.
         proved=not call.repeatable,
     )
 
 
-def _doubt(call, done):
-    """Say "unknown" where "not run" is not known of all sendings."""
+def _mark_unknown_if_unproved(call, done):
+    """Turn NOT_RUN into UNKNOWN if an earlier attempt may have run."""
     before = call.sent_before and not done.proved
     if done.maybe_ran or before:
-        # This sending did not run, but an earlier one may have.
         done.outcome = data.Outcome.UNKNOWN
 
 
-def _may_retry(call, done):
+def _is_retryable(call, done):
+    """Tell whether another endpoint may get the request."""
     if done.outcome == data.Outcome.NOT_RUN:
         return True
     lost = done.outcome == data.Outcome.UNKNOWN
--- a/packages/entry/portwharf/entry/routing_test.py
+++ b/packages/entry/portwharf/entry/routing_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Where requests go, and when they are sent again."""
+"""Choice of endpoints, retries and outcomes of requests."""
 
 import xxhash
 
@@ -17,7 +17,11 @@
 
 
 class FakeLink:
-    """A link whose side answers at once, as it is told to."""
+    """A link whose side answers at once, as configured.
+
+    :param outcome: of the answers; None for no connection
+    :param reason: of the answers, or 'lost' or 'silent'
+    """
 
     def __init__(self, number, outcome=data.Outcome.ANSWERED, reason=''):
         self.view = sides.LinkView(fixtures.make_vm(number), True)
@@ -26,7 +30,8 @@
         self.reason = reason
         self.sent = []
         self.withdrawn = []
-        self.change = None
+        # Called with each answer before it is given.
+        self.change_answer = None
 
     @property
     def name(self):
@@ -40,7 +45,7 @@
             return None
         exchange = sides.Exchange()
         if self.reason == 'lost':
-            exchange.lose('connection-lost')
+            exchange.fail('connection-lost')
             return exchange
         if self.reason == 'silent':
             return exchange
@@ -53,22 +58,22 @@
             checksum=xxhash.xxh64_intdigest(b'ok'),
             payload=b'ok',
         )
-        if self.change:
-            self.change(answer)
-        exchange.take(answer)
+        if self.change_answer:
+            self.change_answer(answer)
+        exchange.handle_answer(answer)
         return exchange
 
-    def measure_oldest(self, now):
+    def measure_oldest_age(self, now):
         """Return the age of the oldest request."""
         return 0.0
 
     def withdraw(self, message):
-        """Note that the caller gave up."""
+        """Record a withdrawn request."""
         self.withdrawn.append(message.request)
 
 
 class FakeTable:
-    """Links that all serve the service."""
+    """A link table whose links all serve the service."""
 
     def __init__(self, *made):
         self.links = made
@@ -83,7 +88,7 @@
 
 
 def route(*made, deadline_ms=50, zone='zone-0', **fields):
-    """Route one request, a repeatable one; returns the result."""
+    """Route one request, repeatable by default; returns the result."""
     router = routing.EndpointRouter(
         FakeTable(*made), clock.SystemClock(), zone, lambda *_: None
     )
@@ -98,33 +103,33 @@
     return sum(len(link.sent) for link in made)
 
 
-def test_answer_goes_back_whole(case):
+def test_answer_is_returned_with_its_payload(case):
     done = route(FakeLink(0))
     case.assertEqual((done.outcome, done.payload), (1, b'ok'))
     case.assertEqual(done.endpoint, 'vm-00')
 
 
-def test_nobody_serves_it(case):
+def test_service_without_endpoints_is_not_run(case):
     done = route()
     case.assertEqual(done.outcome, data.Outcome.NOT_RUN)
     case.assertEqual(done.reason, routing.REASON_NO_ENDPOINT)
     case.assertGreater(done.retry_after_ms, 0)
 
 
-def test_not_run_is_tried_elsewhere(case):
+def test_request_not_run_is_retried_on_another_endpoint(case):
     busy = [FakeLink(n, data.Outcome.NOT_RUN, 'busy') for n in range(2)]
     done = route(*busy, FakeLink(3))
     case.assertEqual(done.outcome, data.Outcome.ANSWERED)
 
 
-def test_not_run_everywhere_is_told_at_once(case):
+def test_request_not_run_anywhere_ends_after_max_attempts(case):
     busy = [FakeLink(n, data.Outcome.NOT_RUN, 'busy') for n in range(9)]
     done = route(*busy, deadline_ms=60_000)
     case.assertEqual(done.outcome, data.Outcome.NOT_RUN)
     case.assertEqual(count_sent(*busy), routing.MAX_ATTEMPTS)
 
 
-def test_lost_request_is_repeated_only_if_it_may_be(case):
+def test_lost_request_is_retried_only_if_repeatable(case):
     made = [FakeLink(n, reason='lost') for n in range(3)]
     done = route(*made, repeatable=False)
     case.assertEqual(done.outcome, data.Outcome.UNKNOWN)
@@ -133,7 +138,7 @@
     case.assertEqual(count_sent(*made), 4)
 
 
-def test_request_that_may_have_run_is_never_called_not_run(case):
+def test_request_that_may_have_run_is_never_reported_as_not_run(case):
     lost = FakeLink(0, reason='lost')
     busy = FakeLink(3, data.Outcome.NOT_RUN, 'busy')
     busy.view.state.in_flight = 50
@@ -142,7 +147,7 @@
     case.assertEqual(done.outcome, data.Outcome.UNKNOWN)
 
 
-def test_not_repeatable_request_goes_to_its_home_alone(case):
+def test_request_that_is_not_repeatable_goes_only_to_its_home(case):
     home = FakeLink(0, data.Outcome.NOT_RUN, 'queue-is-full')
     other = FakeLink(3)
     done = route(home, other, repeatable=False)
@@ -150,14 +155,14 @@
     case.assertEqual((len(home.sent), len(other.sent)), (1, 0))
 
 
-def test_home_that_moves_is_asked_again(case):
+def test_request_is_retried_while_its_home_changes(case):
     home = FakeLink(0, data.Outcome.NOT_RUN, 'not-the-home-of-this-id')
     done = route(home, repeatable=False, deadline_ms=60_000)
-    case.assertEqual(len(home.sent), routing.HOME_ATTEMPTS)
+    case.assertEqual(len(home.sent), routing.MAX_HOME_ATTEMPTS)
     case.assertEqual(done.outcome, data.Outcome.NOT_RUN)
 
 
-def test_second_sending_is_called_not_run_by_its_home_alone(case):
+def test_resent_request_is_not_run_only_if_its_home_says_so(case):
     for made, outcome in (
         ([FakeLink(0, data.Outcome.NOT_RUN, 'full')], data.Outcome.NOT_RUN),
         ([FakeLink(0, None)], data.Outcome.UNKNOWN),
@@ -168,7 +173,7 @@
     case.assertEqual(route(sent_before=True).outcome, data.Outcome.UNKNOWN)
 
 
-def test_failed_request_is_not_repeated(case):
+def test_failed_request_is_not_retried(case):
     made = [FakeLink(n, data.Outcome.FAILED, 'bad') for n in range(3)]
     case.assertEqual(route(*made).outcome, data.Outcome.FAILED)
     case.assertEqual(count_sent(*made), 1)
@@ -186,22 +191,22 @@
     case.assertEqual(done.outcome, data.Outcome.NOT_RUN)
 
 
-def test_damaged_answer_is_never_given(case):
+def test_damaged_answer_is_never_returned(case):
     for change in (
         lambda answer: setattr(answer, 'checksum', 1),
         lambda answer: setattr(answer, 'payload', b'ok!'),
         lambda answer: setattr(answer, 'request', 'another'),
     ):
         link = FakeLink(0)
-        link.change = change
+        link.change_answer = change
         done = route(link, repeatable=False)
         case.assertEqual(done.outcome, data.Outcome.UNKNOWN)
         case.assertEqual(done.payload, b'')
 
 
-def test_half_an_answer_is_none(case):
+def test_incomplete_answer_is_unknown(case):
     link = FakeLink(0)
-    link.change = lambda answer: setattr(answer, 'size', 5)
+    link.change_answer = lambda answer: setattr(answer, 'size', 5)
     case.assertEqual(route(link).outcome, data.Outcome.UNKNOWN)
 
 
@@ -225,7 +230,7 @@
 def test_retries_have_a_budget(case):
     budget = routing.RetryBudget()
     spent = sum(budget.spend() for _ in range(1000))
-    case.assertEqual(spent, routing.RETRY_SAVINGS)
+    case.assertEqual(spent, routing.MAX_SAVED_RETRIES)
     for _ in range(10):
         budget.earn()
     case.assertEqual(sum(budget.spend() for _ in range(1000)), 2)
--- a/packages/entry/portwharf/entry/shards.py
+++ b/packages/entry/portwharf/entry/shard_backend.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Carries operators' calls to the owners of the shards."""
+"""Backend of the operator RPC, which calls the owners of the shards."""
 
 import collections
 
@@ -17,18 +17,21 @@
 
 
 class ShardBackend(operators.Backend):
-    """What carries operators' calls out, at an entry."""
+    """Runs operators' calls at an entry."""
 
-    def __init__(self, cfg, links, kv, keeper, entries, clock):
-        """Take settings, ``LinkTable``, store and configuration.
+    def __init__(self, cfg, links, kv, keeper, peers, clock):
+        """Create a backend.
 
-        :param entries: a ``fellows.Fellows``, to ask the other entries
+        :param links: the entry's ``sides.LinkTable``
+        :param kv: the store
+        :param keeper: the entry's ``ConfigKeeper``
+        :param peers: an ``entry_peers.EntryPeers``
         """
         self._cfg = cfg
         self._links = links
         self._kv = kv
         self._keeper = keeper
-        self._entries = entries
+        self._peers = peers
         self._clock = clock
         self._owners = owners.OwnerCalls(links, clock)
 
@@ -55,7 +58,9 @@
             'list-workloads', query, operations.WorkloadList
         )
         return listed.map(
-            lambda lists: [view for one in lists for view in one.workloads]
+            lambda lists: [
+                view for answer in lists for view in answer.workloads
+            ]
         )
 
     def list_tasks(self, workload_id):
@@ -63,7 +68,7 @@
         listed = self._call_by_id(
             workload_id, 'list-tasks', query, operations.TaskList
         )
-        return listed.map(lambda one: one.tasks)
+        return listed.map(lambda answer: answer.tasks)
 
     def explain(self, subject):
         query = operations.Query(subject)
@@ -100,7 +105,7 @@
         return proposed
 
     def _check_quotas(self, cfg):
-        """Tell whether quotas hold against what is reserved now.
+        """Check new quotas against the resources reserved now.
 
         :returns: Ok(None), or Err(list of Problems)
         """
@@ -116,8 +121,8 @@
 
     def read_config_status(self):
         status = {self._cfg.vm.name: self._keeper.read().revision}
-        for fellow in self._entries.read_all():
-            status[fellow.name] = fellow.config_revision
+        for page in self._peers.read_all():
+            status[page.name] = page.config_revision
         for link in self._links.list_links():
             if link.view.up:
                 status[link.name] = link.view.state.config_revision
@@ -126,9 +131,9 @@
     def read_burn(self):
         targets = self._keeper.read().targets
         buckets = collections.defaultdict(list)
-        for page in self._entries.read_with_own():
-            for one in page.services:
-                buckets[one.service].extend(one.buckets)
+        for page in self._peers.read_with_own():
+            for service in page.services:
+                buckets[service.service].extend(service.buckets)
         now = self._clock.read_unix_ms() / 1000
         return [
             _write_burn(callers.compute_burn(name, target, buckets[name], now))
@@ -149,7 +154,7 @@
         return self._owners.call(shard, method, arguments, answer_class)
 
     def _call_all(self, method, arguments, answer_class):
-        """Call every shard's owner.
+        """Call the owner of every shard.
 
         :returns: Ok(list of answers), or the first Err
         """
@@ -163,6 +168,7 @@
 
 
 def _write_burn(burn):
+    """Convert a ``callers`` burn to the schema's ``ServiceBurn``."""
     return pb.ServiceBurn(
         service=burn.service,
         target_ratio=burn.target_ratio,
--- a/packages/entry/portwharf/entry/sides.py
+++ b/packages/entry/portwharf/entry/sides.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An entry's connections to sides, one thread for each.
+"""An entry's connections to sides, with one thread each.
 
-A request's answer comes back on the connection that it was sent on or not
-at all: when a connection ends, whatever waits on it hears so at once. An
-answer counts only when it is whole, by length and checksum.
+A request is answered on the connection that it was sent on, or not at all:
+when a connection ends, all exchanges that wait on it fail at once. An answer
+is valid only if its length and checksum match.
 """
 
 import dataclasses
@@ -19,67 +19,73 @@
 from portwharf.peers import streams
 from portwharf.scheduler import homes
 
-_BEAT_SECONDS = 1.0
-_BEATS_A_LISTING = 2
-# What an entry says that wants no configuration from this side.
-ANY_REVISION = 2**62
+_HEARTBEAT_SECONDS = 1.0
+_HEARTBEATS_PER_LISTING = 2
+# Revision sent to a side that need not send its configuration.
+NO_CONFIG_WANTED = 2**62
 
 
 class Exchange:
-    """One request or operation that waits for its answer."""
+    """A request or operation and its answer.
+
+    An empty ``failure`` after the end means that ``answer`` is valid.
+    """
 
     def __init__(self, began=0.0):
         self.began = began
         self._done = threading.Event()
-        self._pieces = []
+        self._chunks = []
         self._size = 0
         self.answer = None
         self.payload = b''
-        self.lost = ''
+        self.failure = ''
 
     def wait(self, timeout):
-        """Wait for the end; returns whether it came in time."""
+        """Wait for the end; returns False on timeout."""
         return self._done.wait(timeout)
 
-    def take(self, message):
-        """Take an answer, whole or its first piece.
+    def handle_answer(self, message):
+        """Handle an answer, or the first part of a long one.
 
-        :returns: whether nothing more is to come
+        :returns: whether the exchange has ended
         """
         self.answer = message
         if isinstance(message, messages.OperationResult):
             self._done.set()
             return True
-        return self.extend(message.payload)
+        return self.append_chunk(message.payload)
 
-    def extend(self, piece):
-        """Take one more piece of an answer's payload.
+    def append_chunk(self, chunk):
+        """Append a part of the answer's payload; verify it when complete.
 
-        :returns: whether nothing more is to come
+        :returns: whether the exchange has ended
         """
         if self.answer is None:
             return False
-        self._pieces.append(piece)
-        self._size += len(piece)
+        self._chunks.append(chunk)
+        self._size += len(chunk)
         if self._size < self.answer.size:
             return False
-        self.payload = b''.join(self._pieces)
+        self.payload = b''.join(self._chunks)
         whole = self._size == self.answer.size
         checksum = xxhash.xxh64_intdigest(self.payload)
         if not whole or checksum != self.answer.checksum:
-            self.lost = 'answer-damaged'
+            self.failure = 'answer-damaged'
         self._done.set()
         return True
 
-    def lose(self, reason):
-        """End without an answer."""
-        self.lost = reason
+    def fail(self, reason):
+        """End the exchange without a valid answer."""
+        self.failure = reason
         self._done.set()
 
 
 @dataclasses.dataclass(slots=True)
 class LinkView:
-    """What the entry knows of a side at one time."""
+    """State of the link to a side, and what the side last reported.
+
+    :param sent: requests and operations not answered yet
+    """
 
     vm: data.Vm = dataclasses.field(default_factory=data.Vm)
     up: bool = False
@@ -87,12 +93,11 @@
         default_factory=messages.SideState
     )
     services: frozenset = frozenset()
-    # Sent by this entry and not answered yet.
     sent: int = 0
 
 
 class SideLink(links.PeerLink):
-    """The connection to one side."""
+    """Connection to one side, with the exchanges in progress on it."""
 
     def __init__(
         self,
@@ -100,21 +105,23 @@
         dial,
         make_hello,
         clock,
-        note_roster=None,
+        on_roster=None,
         keeper=None,
-        note_owner=None,
+        on_owner_change=None,
     ):
-        """Take the VM, a function that dials it and one that greets.
+        """Create a link; it connects when entered.
 
-        :param note_roster: called with a shard and a ``RosterUpdate``
+        :param dial: opens a connection to a VM
+        :param make_hello: returns the entry's ``messages.Hello``
+        :param on_roster: called with a shard and a ``RosterUpdate``
         :param keeper: the entry's ``ConfigKeeper``, or None
-        :param note_owner: called when the side tells of another owner
+        :param on_owner_change: called when the side reports another owner
         """
-        self._note_owner = note_owner
+        self._on_owner_change = on_owner_change
         self._keeper = keeper
         super().__init__(vm.name)
         self._clock = clock
-        self._note_roster = note_roster
+        self._on_roster = on_roster
         self._dial = dial
         self._make_hello = make_hello
         self._lock = threading.Lock()
@@ -141,15 +148,15 @@
             self._exchanges.clear()
             self.view.sent = 0
         for exchange in lost:
-            exchange.lose('connection-lost')
+            exchange.fail('connection-lost')
 
     def begin(self, message, payload=b''):
         """Send a request or an operation.
 
-        :param message: gets its ``id`` here
-        :param payload: the whole payload, sent in pieces
+        :param message: its ``id`` is set here
+        :param payload: the whole payload; sent in chunks
         :returns: an :class:`Exchange`, or None if there is no connection
-            and so nothing was sent
+            and nothing was sent
         """
         conn = self._conn
         if conn is None:
@@ -165,27 +172,27 @@
         try:
             self._send(conn, message, payload)
         except streams.PeerError:
-            # Part of it may have arrived.
+            # The side may have received part of it.
             self._forget(message.id)
-            exchange.lose('connection-lost')
+            exchange.fail('connection-lost')
         return exchange
 
-    def measure_oldest(self, now):
+    def measure_oldest_age(self, now):
         """Return the age of the oldest unanswered request, in seconds."""
         with self._lock:
             oldest = next(iter(self._exchanges.values()), None)
         return now - oldest.began if oldest is not None else 0.0
 
     def withdraw(self, message):
-        """Tell the side that nobody waits for a request any longer."""
+        """Cancel a request: drop its exchange and tell the side."""
         self._forget(message.id)
         self.send(messages.Withdraw(message.id))
 
-    def beat(self, revision=ANY_REVISION):
-        """Send a sign of life, so that the side keeps the connection.
+    def send_heartbeat(self, revision=NO_CONFIG_WANTED):
+        """Send a heartbeat, which keeps the connection open.
 
-        :param revision: of the configuration here, for the side to send a
-            later one; ``ANY_REVISION`` if another side is asked
+        :param revision: of the configuration here; the side sends its own
+            if that is later. ``NO_CONFIG_WANTED`` for no configuration.
         """
         self.send(messages.SideState(config_revision=revision))
 
@@ -198,8 +205,8 @@
         message.payload = payload[:size]
         conn.send(message)
         for at in range(size, len(payload), size):
-            piece = payload[at : at + size]
-            conn.send(messages.Chunk(message.id, piece))
+            chunk = payload[at : at + size]
+            conn.send(messages.Chunk(message.id, chunk))
 
     def _forget(self, number):
         with self._lock:
@@ -209,8 +216,8 @@
     def _take(self, message):
         if isinstance(message, messages.SideState):
             former, self.view.state = self.view.state, message
-            if former.owner != message.owner and self._note_owner:
-                self._note_owner()
+            if former.owner != message.owner and self._on_owner_change:
+                self._on_owner_change()
             self.view.services = frozenset(message.services)
             return
         if isinstance(message, messages.ConfigUpdate):
@@ -218,53 +225,53 @@
                 self._keeper.offer(message.revision, message.text)
             return
         if isinstance(message, messages.RosterUpdate):
-            self._note_roster(self.view.state.shard, message)
+            self._on_roster(self.view.state.shard, message)
             return
         exchange = self._exchanges.get(getattr(message, 'id', None))
         if exchange is None:
-            # The answer to a request that was given up.
+            # The answer to a request that was withdrawn.
             return
         if isinstance(message, messages.Answer):
             self.view.state.in_flight = message.in_flight
-            if exchange.take(message):
+            if exchange.handle_answer(message):
                 self._forget(message.id)
         elif isinstance(message, messages.Chunk):
-            if exchange.extend(message.payload):
+            if exchange.append_chunk(message.payload):
                 self._forget(message.id)
         elif isinstance(message, messages.OperationResult):
-            exchange.take(message)
+            exchange.handle_answer(message)
             self._forget(message.id)
         else:
             raise streams.GarbledError(f'unexpected {type(message).__name__}')
 
 
 class LinkTable:
-    """Links to sides on the VM list; a context manager."""
+    """Links to the sides on the VM list; a context manager."""
 
     def __init__(
-        self, vmlist, dial, make_hello, clock, keeper=None, choose=None
+        self, vmlist, dial, make_hello, clock, keeper=None, select_sides=None
     ):
-        """Take the VM list and what each :class:`SideLink` needs.
+        """Create a table; see :class:`SideLink` for the other parameters.
 
-        :param choose: gives, for the names of all sides and the links by
-            name, the names to be linked to; all, if it is None
+        :param select_sides: returns the names of the sides to link to, given
+            the names of all sides and a map of links by name; None for all
         """
         self._keeper = keeper
-        self._choose = choose or _choose_all
+        self._select_sides = select_sides or _select_all
         self._clock = clock
         self._vmlist = vmlist
         self._dial = dial
         self._make_hello = make_hello
         self._links = {}
         self._rosters = {}
-        # How often a side was asked for a later configuration.
-        self._asked = 0
-        self._leaving = frozenset()
-        self._wanted = {}
+        # Number of heartbeats that asked for a later configuration.
+        self._config_requests = 0
+        self._not_live = frozenset()
+        self._listed_vms = {}
         self._stop = threading.Event()
-        # Set when there may be others to be linked to.
+        # Set when the selection of sides may change.
         self._changed = threading.Event()
-        self.listed = threading.Event()
+        self.vmlist_loaded = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name='links', daemon=True
         )
@@ -283,14 +290,14 @@
             link.__exit__(None, None, None)
 
     def list_links(self):
-        """Return the links as they are now."""
+        """Return all links."""
         return list(self._links.values())
 
     def find_home(self, request, service):
-        """Return the link to the home of a not-repeatable request, or None.
+        """Return the link to the home of a request id, or None.
 
-        By the latest roster that any side has passed on. The home checks
-        by its own, so that an old one does no harm here.
+        Uses the latest roster that any side has sent. An outdated roster is
+        safe, since the home checks its own.
         """
         for roster in list(self._rosters.values()):
             name = homes.find_home(roster, request, service)
@@ -298,7 +305,7 @@
                 return self._links.get(name)
         return None
 
-    def _note_roster(self, shard, update):
+    def _record_roster(self, shard, update):
         if not update.history:
             return
         latest = update.history[-1]
@@ -307,41 +314,44 @@
             self._rosters[shard] = latest
 
     def list_serving(self, service):
-        """Return the links to sides that take a service's requests."""
+        """Return the links to sides that accept requests of a service."""
         return [
             link
             for link in self._links.values()
             if link.view.up
             and service in link.view.services
             and not link.view.state.draining
-            and link.name not in self._leaving
+            and link.name not in self._not_live
         ]
 
     def _run(self):
-        beats = 0
+        heartbeats = 0
         while not self._stop.is_set():
-            if beats % _BEATS_A_LISTING == 0 or not self.listed.is_set():
+            if (
+                heartbeats % _HEARTBEATS_PER_LISTING == 0
+                or not self.vmlist_loaded.is_set()
+            ):
                 self._read_list()
-            beats += 1
-            self.beat()
-            self._wait_for_beat()
+            heartbeats += 1
+            self.send_heartbeats()
+            self._wait_for_heartbeat()
 
-    def _wait_for_beat(self):
-        """Wait for the next beat, and link to others as soon as need be."""
-        if self._changed.wait(_BEAT_SECONDS):
+    def _wait_for_heartbeat(self):
+        """Wait for the next heartbeat, updating the links when woken."""
+        if self._changed.wait(_HEARTBEAT_SECONDS):
             self._changed.clear()
-            self._link()
+            self._update_links()
 
-    def _note_change(self):
-        """Note that a side has told of another owner."""
+    def _wake(self):
+        """Wake the thread to update the links to a new owner."""
         self._changed.set()
 
-    def beat(self):
-        """Send a sign of life to all sides, and ask one for what is newer.
+    def send_heartbeats(self):
+        """Send a heartbeat to all sides, and ask one for a later config.
 
-        A configuration of 1,500 routes is 0.3 MB. From each of 76 sides at
-        once it takes a link of 5 Mbit/s half a minute, and what the store
-        answers waits behind that; so each beat asks another side, one.
+        Asking a single side keeps a large configuration from arriving many
+        times over and delaying the store's answers on a slow network. Each
+        heartbeat asks another side, in case one is slow or unreachable.
         """
         links = self.list_links()
         revision = self._keeper.read().revision if self._keeper else 0
@@ -350,52 +360,55 @@
             for link in links
             if link.view.up and link.view.state.config_revision > revision
         ]
-        asked = None
+        config_source = None
         if self._keeper is not None and newer:
-            self._asked += 1
-            asked = newer[self._asked % len(newer)]
+            self._config_requests += 1
+            config_source = newer[self._config_requests % len(newer)]
         for link in links:
-            link.beat(revision if link is asked else ANY_REVISION)
+            link.send_heartbeat(
+                revision if link is config_source else NO_CONFIG_WANTED
+            )
 
     def _read_list(self):
         listed = self._vmlist.read()
         if listed.is_ok():
-            self._follow(listed.ok_value)
-            self.listed.set()
+            self._apply_list(listed.ok_value)
+            self.vmlist_loaded.set()
 
-    def _follow(self, vms):
-        """Take what the list names, and link to what is chosen of it."""
-        self._wanted = {
+    def _apply_list(self, vms):
+        """Store the sides on the list and update the links."""
+        self._listed_vms = {
             vm.name: vm for vm in vms if vm.role == data.Role.ENDPOINT
         }
-        self._leaving = frozenset(
+        self._not_live = frozenset(
             vm.name
-            for vm in self._wanted.values()
+            for vm in self._listed_vms.values()
             if vm.state != data.VmState.LIVE
         )
-        self._link()
+        self._update_links()
 
-    def _link(self):
-        """Link to each chosen VM, and end the links to others.
+    def _update_links(self):
+        """Open links to the selected sides, and close other links.
 
-        A VM that the list no longer names keeps its link while that is up:
-        the list may lag or be wrong, and the connection tells the truth.
+        A link that is up stays even if the list no longer names its VM: the
+        list may be outdated or wrong, and a connection is better evidence.
+        A link to a side that is not selected closes once it is idle.
         """
-        chosen = self._choose(list(self._wanted), self._links)
+        selected = self._select_sides(list(self._listed_vms), self._links)
         links = dict(self._links)
         for name, link in self._links.items():
-            vm = self._wanted.get(name)
+            vm = self._listed_vms.get(name)
             if vm is None and link.view.up:
                 continue
-            if vm is None or _has_moved(link.view.vm, vm):
+            if vm is None or _has_new_address(link.view.vm, vm):
                 del links[name]
                 link.__exit__(None, None, None)
-            elif name not in chosen and not link.view.sent:
+            elif name not in selected and not link.view.sent:
                 del links[name]
                 link.__exit__(None, None, None)
-        for name in chosen:
+        for name in selected:
             if name not in links:
-                links[name] = self._open_link(self._wanted[name])
+                links[name] = self._open_link(self._listed_vms[name])
         self._links = links
 
     def _open_link(self, vm):
@@ -404,16 +417,16 @@
             self._dial,
             self._make_hello,
             self._clock,
-            self._note_roster,
+            self._record_roster,
             self._keeper,
-            self._note_change,
+            self._wake,
         )
         return link.__enter__()
 
 
-def _choose_all(names, links):
+def _select_all(names, links):
     return names
 
 
-def _has_moved(known, vm):
+def _has_new_address(known, vm):
     return (known.address, known.port) != (vm.address, vm.port)
--- a/packages/entry/portwharf/entry/sides_test.py
+++ b/packages/entry/portwharf/entry/sides_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A link that goes silent ends the calls on it, and is dialled anew."""
+"""Links to sides: silent connections, configuration and owner changes."""
 
 import queue
 import threading
@@ -18,25 +18,25 @@
 
 
 def serve_side(case):
-    """Listen as a side that greets and answers nothing.
+    """Listen as a side that sends only its hello.
 
-    :returns: the port, and a queue of the operations that came
+    :returns: the port, and a queue of the messages received
     """
-    came = queue.Queue()
+    received = queue.Queue()
 
     def handle(conn):
         conn.receive()
         conn.send(messages.Hello(role='side', name='vm-1'))
         while True:
-            came.put(conn.receive())
+            received.put(conn.receive())
 
     listener = streams.Listener('127.0.0.1', 0, handle)
     case.enterContext(listener)
-    return listener.port, came
+    return listener.port, received
 
 
 class WatchedLink(sides.SideLink):
-    """A link that tells when it is up."""
+    """A link that sets an event when it is up."""
 
     def attach(self, conn, peer):
         super().attach(conn, peer)
@@ -57,36 +57,36 @@
 
 
 def test_call_on_a_link_that_goes_silent_ends_and_the_next_one_goes(case):
-    port, came = serve_side(case)
-    between = case.enterContext(relay.Relay('127.0.0.1', 0, port))
-    link = open_link(case, between.port)
+    port, received = serve_side(case)
+    proxy = case.enterContext(relay.Relay('127.0.0.1', 0, port))
+    link = open_link(case, proxy.port)
     case.assertTrue(link.attached.wait(10))
     link.attached.clear()
-    between.hush()
+    proxy.hush()
     lost = link.begin(messages.Operation(0, 'lost'))
     case.assertTrue(lost.wait(8))
-    case.assertEqual(lost.lost, 'connection-lost')
+    case.assertEqual(lost.failure, 'connection-lost')
     case.assertTrue(link.attached.wait(10))
     link.begin(messages.Operation(0, 'found'))
-    case.assertEqual(came.get(timeout=10).method, 'found')
+    case.assertEqual(received.get(timeout=10).method, 'found')
 
 
-class ToldLink(sides.SideLink):
-    """A link to a side with a configuration, which notes what it is told."""
+class RecordingLink(sides.SideLink):
+    """A link to a side with a configuration; records the heartbeats."""
 
     def __init__(self, name, keeper, revision, up=True):
         vm = data.Vm(name)
         super().__init__(vm, None, None, clock.SystemClock(), None, keeper)
         self.view.up = up
         self.view.state = messages.SideState(config_revision=revision)
-        self.told = []
+        self.revisions_sent = []
 
     def send(self, message):
-        self.told.append(message.config_revision)
+        self.revisions_sent.append(message.config_revision)
 
 
-class Rounds:
-    """In place of the event that ends a table: it ends after some beats."""
+class CountdownEvent:
+    """Stands in for an event and is set after some checks."""
 
     def __init__(self, count):
         self._left = count
@@ -99,56 +99,57 @@
         return False
 
 
-class NoList:
+class UnreadableVmList:
     """A VM list that cannot be read."""
 
     def read(self):
         return result.Err('it is away')
 
 
-def list_asked(revisions, up=True, beats=1):
-    """Return which sides are asked for a configuration, beat by beat.
+def list_asked_sides(revisions, up=True, heartbeats=1):
+    """Return the sides asked for their configuration by each heartbeat.
 
-    :param revisions: what each side has; the entry has 5
+    :param revisions: of each side; the entry has 5
+    :returns: list, for each heartbeat, of the numbers of the sides
     """
     keeper = configuration.ConfigKeeper()
     keeper.offer(5, '')
     links = [
-        ToldLink(str(number), keeper, revision, up)
+        RecordingLink(str(number), keeper, revision, up)
         for number, revision in enumerate(revisions)
     ]
-    table = sides.LinkTable(NoList(), None, None, None, keeper)
+    table = sides.LinkTable(UnreadableVmList(), None, None, None, keeper)
     table._links = {link.name: link for link in links}
-    table._stop = Rounds(beats)
-    table._changed = Rounds(0)
+    table._stop = CountdownEvent(heartbeats)
+    table._changed = CountdownEvent(0)
     table._run()
     return [
-        [n for n, told in enumerate(row) if told < revisions[n]]
-        for row in zip(*(link.told for link in links), strict=True)
+        [n for n, sent in enumerate(row) if sent < revisions[n]]
+        for row in zip(*(link.revisions_sent for link in links), strict=True)
     ]
 
 
 def test_one_side_at_a_time_is_asked_for_a_later_configuration(case):
-    asked = list_asked([9] * 76, beats=3)
+    asked = list_asked_sides([9] * 76, heartbeats=3)
     case.assertEqual([len(rows) for rows in asked], [1, 1, 1])
-    # The one asked before may be cut off, or slow.
+    # A side that was asked may be slow or unreachable.
     case.assertEqual(len({rows[0] for rows in asked}), 3)
 
 
 def test_nobody_is_asked_for_what_is_here_already(case):
-    case.assertEqual(list_asked([5, 4, 5]), [[]])
+    case.assertEqual(list_asked_sides([5, 4, 5]), [[]])
 
 
 def test_a_side_that_is_not_there_is_not_asked(case):
-    case.assertEqual(list_asked([9], up=False), [[]])
+    case.assertEqual(list_asked_sides([9], up=False), [[]])
 
 
 def test_only_sides_that_have_a_later_configuration_are_asked(case):
-    case.assertEqual(list_asked([5, 9, 4]), [[1]])
+    case.assertEqual(list_asked_sides([5, 9, 4]), [[1]])
 
 
-class ListOf:
-    """A VM list of some sides on free ports."""
+class StaticVmList:
+    """A VM list of some sides; nothing listens at their addresses."""
 
     def __init__(self, names):
         self._vms = [
@@ -160,22 +161,22 @@
         return result.Ok(self._vms)
 
 
-class NoSide(streams.PeerError):
-    """Nobody is there."""
+class UnreachableError(streams.PeerError):
+    """The side does not accept connections."""
 
 
-def test_table_links_to_an_owner_as_soon_as_a_side_tells_of_it(case):
-    dialled = queue.Queue()
-    let_go = threading.Event()
+def test_table_links_at_once_to_an_owner_that_a_side_reports(case):
+    dialed = queue.Queue()
+    release = threading.Event()
 
     def dial(vm):
-        dialled.put(vm.name)
-        let_go.wait(30)
-        raise NoSide('not there')
+        dialed.put(vm.name)
+        release.wait(30)
+        raise UnreachableError('not there')
 
     names = [f'side-{number}' for number in range(100)]
     table = sides.LinkTable(
-        ListOf(names),
+        StaticVmList(names),
         dial,
         None,
         clock.SystemClock(),
@@ -183,14 +184,14 @@
         fewsides.FewSides('entry-1'),
     )
     case.enterContext(table)
-    case.addCleanup(let_go.set)
-    case.assertTrue(table.listed.wait(10))
+    case.addCleanup(release.set)
+    case.assertTrue(table.vmlist_loaded.wait(10))
     linked = {link.name for link in table.list_links()}
-    case.assertEqual(len(linked), fewsides.LEAST_SIDES)
+    case.assertEqual(len(linked), fewsides.MIN_LINKS)
     owner = next(name for name in names if name not in linked)
-    told = table.list_links()[0]
-    told.view.up = True
-    told.handle(None, messages.SideState(owner=owner, epoch=3))
-    # It is dialled, or the queue runs empty and says so.
-    while dialled.get(timeout=10) != owner:
+    link = table.list_links()[0]
+    link.view.up = True
+    link.handle(None, messages.SideState(owner=owner, epoch=3))
+    # Fails with queue.Empty if the owner is not dialed.
+    while dialed.get(timeout=10) != owner:
         continue
