--- a/packages/entry/portwharf/entry/leaving.py
+++ b/packages/entry/portwharf/entry/leaving.py
@@ -1,92 +1,91 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An entry's planned stop: how long calls may take, and when it is over.
+"""Graceful shutdown of an entry.
 
-An entry that was asked to stop goes on answering until nobody sends it
-anything, as callers come to it until the balancer has seen that it is not
-ready. What comes late must be answered before the process is killed, so
-that calls are given less time as the end draws near.
+An entry that is asked to stop goes on answering until no calls arrive, since
+callers reach it until the load balancer sees that it is not ready. Calls that
+arrive late must be answered before the process is killed, so their time
+limits shrink as the end approaches.
 """
 
 import contextlib
 import threading
 
-# No call came for so long: the balancer sends none any more.
+# Without calls for this long, the balancer has stopped sending any.
 QUIET_SECONDS = 0.5
-# What the last calls may still take: an owner that is there answers in it.
-LEAST_SECONDS = 0.1
-_LOOK_SECONDS = 0.1
+# Least time limit of a call; an owner that is up answers within it.
+MIN_CALL_SECONDS = 0.1
+_POLL_SECONDS = 0.1
 
 
 class Leaving:
-    """Whether an entry was asked to stop, and the calls that it carries out.
+    """Tracks an entry's shutdown and its calls in progress.
 
-    It answers the stop of an entry whose owner, store or callers are slow
-    to answer, or silent, at that time.
+    The shutdown ends in time even if the owner, the store or the callers are
+    slow or do not answer.
     """
 
-    def __init__(self, clock, away_seconds, answer_seconds):
-        """Take a clock, and the stop's times.
+    def __init__(self, clock, unready_seconds, answer_seconds):
+        """Create a tracker; times count from the request to stop.
 
-        :param away_seconds: after the asking, the balancer has seen by then
-            that this entry takes no more
-        :param answer_seconds: after the asking, all calls have to be
-            answered by then
+        :param unready_seconds: until the balancer has surely seen that this
+            entry is not ready
+        :param answer_seconds: until all calls must have been answered
         """
         self._clock = clock
-        self._away_seconds = away_seconds
+        self._unready_seconds = unready_seconds
         self._answer_seconds = answer_seconds
         self._changed = threading.Condition()
-        self._running = 0
-        self._last = 0.0
-        self._asked = None
+        self._active_calls = 0
+        self._last_call = 0.0
+        self._requested_at = None
 
     @property
     def is_asked(self):
-        """Whether the stop was asked for."""
-        return self._asked is not None
+        """Whether a stop was requested."""
+        return self._requested_at is not None
 
     def ask(self):
-        """Ask for the stop; safe in a signal handler."""
-        if self._asked is None:
-            self._asked = self._clock.read_monotonic()
+        """Request the stop; safe in a signal handler."""
+        if self._requested_at is None:
+            self._requested_at = self._clock.read_monotonic()
 
     @contextlib.contextmanager
     def carry_out(self):
-        """Count a call as one that is carried out, while in its block."""
+        """Context manager that counts a call in progress."""
         with self._changed:
-            self._running += 1
-            self._last = self._clock.read_monotonic()
+            self._active_calls += 1
+            self._last_call = self._clock.read_monotonic()
         try:
             yield
         finally:
             with self._changed:
-                self._running -= 1
+                self._active_calls -= 1
                 self._changed.notify_all()
 
     def limit(self, seconds):
-        """Return for how long a call may be tried, of what it would be.
+        """Return the time limit of a call, in seconds.
 
-        :param seconds: the same without a stop
+        :param seconds: the limit while no stop was requested
         """
-        asked = self._asked
+        asked = self._requested_at
         if asked is None:
             return seconds
         due = asked + self._answer_seconds
         left = due - self._clock.read_monotonic()
-        return max(LEAST_SECONDS, min(seconds, left))
+        return max(MIN_CALL_SECONDS, min(seconds, left))
 
     def is_over(self):
-        """Whether the entry may end now, once the stop was asked for."""
+        """Whether the entry may exit now; only after a stop was requested."""
         now = self._clock.read_monotonic()
-        if now >= self._asked + self._answer_seconds:
+        if now >= self._requested_at + self._answer_seconds:
             return True
-        away = now >= self._asked + self._away_seconds
-        quiet = now >= self._last + QUIET_SECONDS
-        return self._running == 0 and away and quiet
+        unready = now >= self._requested_at + self._unready_seconds
+        quiet = now >= self._last_call + QUIET_SECONDS
+        return self._active_calls == 0 and unready and quiet
 
     def wait_until_over(self):
-        """Wait until the entry may end."""
+        """Wait until the entry may exit."""
         with self._changed:
             while not self.is_over():
-                self._changed.wait(_LOOK_SECONDS)
+                self._changed.wait(_POLL_SECONDS)
--- a/packages/entry/portwharf/entry/leaving_test.py
+++ b/packages/entry/portwharf/entry/leaving_test.py
@@ -1,58 +1,58 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An entry that leaves answers what still comes, and ends in its time."""
+"""A stopping entry answers late calls and exits in time."""
 
 from portwharf.core import clock
 from portwharf.entry import leaving
 
-AWAY = 2.5
-ANSWER = 4.5
+UNREADY_SECONDS = 2.5
+ANSWER_SECONDS = 4.5
 
 
 def make_leaving():
-    """Return the stop of an entry, and its clock."""
+    """Return the shutdown tracker of an entry, and its clock."""
     now = clock.ManualClock()
-    return leaving.Leaving(now, AWAY, ANSWER), now
+    return leaving.Leaving(now, UNREADY_SECONDS, ANSWER_SECONDS), now
 
 
-def test_calls_have_their_usual_time_until_a_stop_is_asked_for(case):
+def test_calls_keep_their_time_limit_until_a_stop_is_requested(case):
     stop, now = make_leaving()
     now.advance(100)
     case.assertFalse(stop.is_asked)
     case.assertEqual(stop.limit(2.0), 2.0)
 
 
-def test_calls_that_come_late_are_answered_before_the_end(case):
+def test_late_calls_get_less_time(case):
     stop, now = make_leaving()
     stop.ask()
     case.assertEqual(stop.limit(2.0), 2.0)
     now.advance(4.0)
     case.assertEqual(stop.limit(2.0), 0.5)
     now.advance(5.0)
-    case.assertEqual(stop.limit(2.0), leaving.LEAST_SECONDS)
+    case.assertEqual(stop.limit(2.0), leaving.MIN_CALL_SECONDS)
 
 
-def test_second_asking_does_not_move_the_end(case):
+def test_second_request_does_not_move_the_end(case):
     stop, now = make_leaving()
     stop.ask()
-    now.advance(ANSWER)
+    now.advance(ANSWER_SECONDS)
     stop.ask()
     case.assertTrue(stop.is_over())
 
 
-def test_entry_that_nobody_calls_ends_once_the_balancer_knows(case):
+def test_idle_entry_exits_once_the_balancer_has_noticed(case):
     stop, now = make_leaving()
     stop.ask()
-    now.advance(AWAY - 0.1)
+    now.advance(UNREADY_SECONDS - 0.1)
     case.assertFalse(stop.is_over())
     now.advance(0.2)
     case.assertTrue(stop.is_over())
 
 
-def test_entry_goes_on_while_calls_come_or_are_carried_out(case):
+def test_entry_stays_up_while_calls_arrive_or_run(case):
     stop, now = make_leaving()
     stop.ask()
-    now.advance(AWAY)
+    now.advance(UNREADY_SECONDS)
     with stop.carry_out():
         now.advance(1.0)
         case.assertFalse(stop.is_over())
@@ -64,16 +64,16 @@
     case.assertTrue(stop.is_over())
 
 
-def test_call_that_hangs_does_not_hold_the_end_up(case):
+def test_hanging_call_does_not_delay_the_end(case):
     stop, now = make_leaving()
     stop.ask()
     with stop.carry_out():
-        now.advance(ANSWER)
+        now.advance(ANSWER_SECONDS)
         case.assertTrue(stop.is_over())
         stop.wait_until_over()
 
 
-def test_end_counts_from_the_asking_and_not_from_the_hearing(case):
+def test_end_counts_from_the_request_to_stop(case):
     stop, now = make_leaving()
     stop.ask()
     now.advance(3.0)
--- a/packages/entry/portwharf/entry/owners.py
+++ b/packages/entry/portwharf/entry/owners.py
@@ -1,11 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Finds the owner of a shard and has it carry a call out.
+"""Finds the owner of a shard and sends calls to it.
 
-An owner is found by what the sides say of themselves; of several the
-highest epoch counts. Every call may be sent twice without harm (a
-submission by its key, the others by what they mean), so that a call whose
-answer is lost is sent again until its time is up.
+The owner is the one of the highest epoch that the sides report. All calls
+are idempotent (a submission by its key, the others by their meaning), so
+that a call whose answer is lost is sent again until its timeout.
 """
 
 import threading
@@ -16,11 +15,11 @@
 from portwharf.core import data
 from portwharf.peers import messages
 
-CALL_SECONDS = 10.0
-_ATTEMPT_SECONDS = 9.0
-_PAUSE_SECONDS = 0.1
-# How often to look whether the owner that was asked is still the owner.
-_LOOK_SECONDS = 0.2
+CALL_TIMEOUT_SECONDS = 10.0
+_ATTEMPT_TIMEOUT_SECONDS = 9.0
+_RETRY_DELAY_SECONDS = 0.1
+# Interval of checks that a called owner is still the owner.
+_OWNER_CHECK_SECONDS = 0.2
 
 NOT_ACCEPTED = 'not-accepted'
 OUTCOME_UNKNOWN = 'outcome-unknown'
@@ -28,10 +27,10 @@
 
 
 class OwnerCalls:
-    """Calls to owners, over an entry's links."""
+    """Sends calls to owners over an entry's links."""
 
     def __init__(self, links, clock):
-        """Take the entry's ``sides.LinkTable`` and a clock."""
+        """Create a client; ``links`` is a ``sides.LinkTable``."""
         self._links = links
         self._clock = clock
         self._pause = threading.Event()
@@ -42,34 +41,42 @@
         method,
         arguments,
         answer_class,
-        seconds=None,
-        find_seconds=None,
+        timeout_seconds=None,
+        find_timeout_seconds=None,
     ):
-        """Call one shard's owner, and again if it changes under way.
+        """Call the owner of a shard, and again if the owner changes.
 
-        :param seconds: how long to try; None for the usual time
-        :param find_seconds: how long to look for an owner while nothing
-            has been sent; None for as long as all
+        :param timeout_seconds: for the whole call; None for the default
+        :param find_timeout_seconds: how long to look for an owner while
+            nothing has been sent; None for the timeout of the call
         :returns: Ok(instance of answer_class), or Err(list of Problems)
         """
         began = self._clock.read_monotonic()
-        deadline = began + (seconds or CALL_SECONDS)
+        deadline = began + (timeout_seconds or CALL_TIMEOUT_SECONDS)
         body = codec.pack(arguments)
-        sent = False
+        maybe_received = False
         while True:
             left = deadline - self._clock.read_monotonic()
-            patience = seconds if sent else find_seconds
+            timeout = (
+                timeout_seconds if maybe_received else find_timeout_seconds
+            )
             now = self._clock.read_monotonic()
-            if left <= 0 or (patience and now - began > patience):
-                return result.Err([_describe_no_owner(shard, sent)])
-            exchange = self._send(shard, method, body, left)
+            if left <= 0 or (timeout and now - began > timeout):
+                return result.Err(
+                    [_make_no_owner_problem(shard, maybe_received)]
+                )
+            exchange = self._call_once(shard, method, body, left)
             answer = exchange.answer if exchange else None
             if answer is not None and answer.status == 'ok':
                 return result.Ok(codec.unpack(answer_class, answer.body))
             if answer is not None and answer.status != 'not-owner':
-                return result.Err(_settle(answer.problems, shard, sent))
-            sent = sent or (exchange is not None and answer is None)
-            self._pause.wait(min(left, _PAUSE_SECONDS))
+                return result.Err(
+                    _resolve_refusal(answer.problems, shard, maybe_received)
+                )
+            maybe_received = maybe_received or (
+                exchange is not None and answer is None
+            )
+            self._pause.wait(min(left, _RETRY_DELAY_SECONDS))
 
     def find_owner(self, shard):
         """Return the link to a shard's owner, or None."""
@@ -84,8 +91,11 @@
         owner = latest.view.state.owner
         return next((link for link in links if link.name == owner), None)
 
-    def _send(self, shard, method, body, left):
-        """Send a call to a shard's owner once; the exchange or None."""
+    def _call_once(self, shard, method, body, left):
+        """Send a call to the present owner once and wait for its answer.
+
+        :returns: the exchange, ended or not, or None if nothing was sent
+        """
         link = self.find_owner(shard)
         if link is None:
             return None
@@ -93,32 +103,36 @@
         exchange = link.begin(operation)
         if exchange is None:
             return None
-        deadline = self._clock.read_monotonic() + min(left, _ATTEMPT_SECONDS)
+        deadline = self._clock.read_monotonic() + min(
+            left, _ATTEMPT_TIMEOUT_SECONDS
+        )
         while True:
             now = self._clock.read_monotonic()
-            wait = max(0.0, min(_LOOK_SECONDS, deadline - now))
+            wait = max(0.0, min(_OWNER_CHECK_SECONDS, deadline - now))
             if exchange.wait(wait):
                 break
             now = self._clock.read_monotonic()
             if now >= deadline or self.find_owner(shard) is not link:
-                # A paused owner keeps its connection; another has followed.
+                # A paused owner keeps its connection while another one has
+                # taken over.
                 break
         return exchange
 
 
-def _settle(problems, shard, sent):
-    """Return what a refusal means after an earlier sending was lost.
+def _resolve_refusal(problems, shard, maybe_received):
+    """Return the problems of a call that the owner refused.
 
-    That this sending changed nothing says nothing about the earlier one.
+    If an earlier attempt got no answer, "not accepted" turns into "outcome
+    unknown": this attempt changed nothing, but the earlier one may have.
     """
     refused = any(problem.code == NOT_ACCEPTED for problem in problems)
-    if sent and refused:
-        return [_describe_no_owner(shard, True)]
+    if maybe_received and refused:
+        return [_make_no_owner_problem(shard, True)]
     return problems
 
 
-def _describe_no_owner(shard, sent):
-    if sent:
+def _make_no_owner_problem(shard, maybe_received):
+    if maybe_received:
         return data.Problem(
             OUTCOME_UNKNOWN,
             text=f'no answer from the owner of shard {shard}',
