--- a/packages/entry/portwharf/entry/owners.py
+++ b/packages/entry/portwharf/entry/owners.py
@@ -57,11 +57,11 @@
         maybe_received = False
         while True:
             left = deadline - self._clock.read_monotonic()
-            timeout = (
+            limit_seconds = (
                 timeout_seconds if maybe_received else find_timeout_seconds
             )
             now = self._clock.read_monotonic()
-            if left <= 0 or (timeout and now - began > timeout):
+            if left <= 0 or (limit_seconds and now - began > limit_seconds):
                 return result.Err(
                     [_make_no_owner_problem(shard, maybe_received)]
                 )
