--- a/packages/scheduler/portwharf/scheduler/faults_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_test.py
@@ -168,7 +168,7 @@
 
 def test_number_of_a_trimmed_entry_used_again(case):
     def append(self, batch):
-        self._last = None
+        self._last_entry = None
         return original(self, batch)
 
     original = shardlog.ShardLog.append
@@ -195,7 +195,7 @@
     def read_back(self, key):
         found = self._kv.read(key)
         if found.is_ok() and found.ok_value is not None:
-            return shardlog.result.Err(shardlog.Deposed(self._next))
+            return shardlog.result.Err(shardlog.Deposed(self._next_seq))
         return original(self, key)
 
     original = shardlog.ShardLog._read_back
@@ -295,6 +295,6 @@
         case,
         ownership_test.test_large_submissions_are_cut_into_entries,
         shardlog,
-        'cut_batch',
+        'count_fitting_events',
         len,
     )
--- a/packages/scheduler/portwharf/scheduler/members.py
+++ b/packages/scheduler/portwharf/scheduler/members.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An owner's connections to the sides of its shard, a thread for each.
+"""Connections of an owner to the sides of its shard, one thread each.
 
-The owner dials; the side sends heartbeats, each answered with a grant on
-the same connection, and reports. A command counts only on the connection
-that it was sent on: when that ends the side drops what it has not begun,
-and the next connection starts with a report of everything.
+The owner dials. The side sends reports, and heartbeats that are each answered
+with a grant on the same connection. A command is valid only on the connection
+that it was sent on: when it ends, the side drops the commands that it has not
+begun, and the next connection starts with a full report.
 """
 
 import collections
@@ -16,24 +16,25 @@
 from portwharf.peers import messages
 from portwharf.peers import streams
 
-# Saves that wait for a pass, of one VM: in a long outage of the store the
-# oldest go first, which later ones stand in for.
-MAX_SAVED = 1000
-# And measurements of run times, of which a few a step are enough.
-MAX_MEASURED = 200
+# Checkpoint records that wait for the next pass, for each VM. In a long outage
+# of the store the oldest are dropped; later ones supersede them.
+MAX_SAVED_TASKS = 1000
+# Run time measurements that wait for the next pass, for each VM.
+MAX_RUN_MEASURES = 200
 
 
 @dataclasses.dataclass(slots=True)
 class MemberView:
-    """What the owner knows of a side at one time.
+    """What an owner knows of a side.
 
     :param connection: how many connections have ended before this one
-    :param heard: the owner's clock at the last heartbeat, or None
-    :param largest: the largest capacity that its worker has shown
-    :param saved: ``messages.SavedTask`` that no pass has taken yet
-    :param measured: ``messages.RunMeasure`` that no pass has taken yet
+    :param heard: when the last heartbeat came, on the clock of the owner, or
+        None
+    :param largest: the largest capacity that its worker has reported
+    :param saved: list of ``messages.SavedTask`` not yet processed
+    :param measured: list of ``messages.RunMeasure`` not yet processed
     :param granted: the last grant on this connection was valid
-    :param reported: the side has told all that it runs on this connection
+    :param reported: the side has sent its full report on this connection
     """
 
     vm: data.Vm = dataclasses.field(default_factory=data.Vm)
@@ -55,43 +56,43 @@
     rack: str = ''
     life: data.LifeId = data.LifeId()
     saved: collections.deque = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=MAX_SAVED)
+        default_factory=lambda: collections.deque(maxlen=MAX_SAVED_TASKS)
     )
     measured: collections.deque = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=MAX_MEASURED)
+        default_factory=lambda: collections.deque(maxlen=MAX_RUN_MEASURES)
     )
 
 
 class MemberLink(links.PeerLink):
     """The connection to one side.
 
-    A command that is lost with it is made up for by the report of
-    everything that the next connection begins with.
+    A command that is lost with the connection is repeated, if still needed,
+    after the full report that begins the next one.
     """
 
     def __init__(self, vm, owner):
-        """Take the member's VM and the ``owner.Owner``."""
+        """Take the member's ``data.Vm`` and the ``owner.Owner``."""
         super().__init__(vm.name)
         self._owner = owner
         self.idle = owner.limits.owner_idle
         self.view = MemberView(vm)
-        self._held = messages.HeldTasks()
+        self._held_tasks = messages.HeldTasks()
 
     def dial(self):
         return self._owner.dial(self.view.vm)
 
     def make_hello(self):
-        # Before the side counts our silence: the owner's lock may be held
-        # for as long as a pass takes.
-        self._held = self._owner.make_held(self.name)
+        # Computed before the greeting starts the idle timeout of the side, as
+        # the owner may hold its lock for a whole pass.
+        self._held_tasks = self._owner.make_held(self.name)
         return self._owner.make_hello()
 
     def attach(self, conn, peer):
         self._owner.note_epoch(peer.epoch)
         conn.send(self._owner.make_grant(self.name, 0))
-        # Before any order: a side that has restarted does not know what it
-        # is that runs on its VM, and would pace nothing beside it.
-        conn.send(self._held)
+        # Sent before any command: a restarted side does not know the tasks on
+        # its VM, and could not pace their neighbours.
+        conn.send(self._held_tasks)
         conn.send(self._owner.make_zones())
         conn.send(self._owner.make_config())
         conn.send(self._owner.make_rosters())
@@ -106,11 +107,11 @@
 
     def handle(self, conn, message):
         if isinstance(message, messages.Heartbeat):
-            self._hear(message)
-            # A side that does not acknowledge our epoch, as it has just
-            # restarted, gets no grant.
-            ours = message.epoch == self._owner.epoch
-            side_ms = message.side_ms if ours else 0
+            self._record_heartbeat(message)
+            # A side that does not acknowledge this epoch, such as one that has
+            # just restarted, gets no valid grant.
+            is_current = message.epoch == self._owner.epoch
+            side_ms = message.side_ms if is_current else 0
             grant = self._owner.make_grant(self.name, side_ms)
             conn.send(grant)
             self.view.granted = grant.valid
@@ -119,7 +120,7 @@
         else:
             raise streams.GarbledError(f'unexpected {type(message).__name__}')
 
-    def _hear(self, beat):
+    def _record_heartbeat(self, beat):
         view = self.view
         view.heard = self._owner.read_clock()
         view.capacity = beat.capacity
--- a/packages/scheduler/portwharf/scheduler/membership.py
+++ b/packages/scheduler/portwharf/scheduler/membership.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An owner's members: links to them, what they report, who comes and goes.
+"""The members of a shard as seen by its present owner.
 
-The member list itself is in the shard's log; here is what the present
-owner has seen of the members in its own time.
+Holds the links to the members, what they report and what the VM list says of
+them. The member list itself is in the shard's log.
 """
 
 from portwharf.core import data
@@ -15,12 +15,13 @@
 from portwharf.scheduler import suspects
 from portwharf.scheduler import zones
 
-# What a new owner gives its members at the most to report.
-SETTLE_SECONDS = 1.0
-# It begins earlier once this share of them has reported, and had this long.
+# Longest time that a new owner waits for the reports of its members.
+MAX_SETTLE_SECONDS = 1.0
+# It begins earlier, but not before ``MIN_SETTLE_SECONDS``, once this share of
+# the members has reported.
 SETTLE_SHARE = 0.75
-SETTLE_MOST_SECONDS = 0.25
-VMLIST_SECONDS = 5.0
+MIN_SETTLE_SECONDS = 0.25
+VM_LIST_INTERVAL_SECONDS = 5.0
 
 CLOSED_UNREACHABLE = 'unreachable'
 CLOSED_NOT_READY = 'not-ready-yet'
@@ -30,7 +31,7 @@
 
 
 class Membership:
-    """The members of one shard, as its owner sees them."""
+    """The members of one shard, as seen by its owner."""
 
     def __init__(
         self,
@@ -42,10 +43,13 @@
         pairs=None,
         runtimes=None,
     ):
-        """Take an ``environment.Environment`` and what the owner knows.
+        """Create the membership of a new owner.
 
+        :param env: an ``environment.Environment``
+        :param state: the ``state.ShardState``
+        :param grant_table: the ``grants.GrantTable`` of the owner
         :param health: a ``health.Health`` of the shard's workers
-        :param pressure: a ``pressure.Pressure`` of the same
+        :param pressure: a ``pressure.Pressure`` of the shard's workers
         :param pairs: a ``presses.Presses``, or None
         :param runtimes: a ``forecast.RunTimes``, or None
         """
@@ -59,13 +63,18 @@
         self._links = {}
         self._listed = {}
         self._listed_at = {}
-        self._next_listing = 0.0
-        # What was read of the VM list and not looked at yet, or None.
-        self._ours = None
+        self._next_list_read = 0.0
+        # This shard's VMs as last read from the VM list and not yet processed,
+        # or None.
+        self._unprocessed_vms = None
         self._began = env.clock.read_monotonic()
 
     def close(self):
-        """End all links, together, as each may wait for a slow peer."""
+        """End all links.
+
+        All are told to stop before any is joined, as each may wait for a slow
+        peer.
+        """
         for link in self._links.values():
             link.stop()
         for link in self._links.values():
@@ -81,9 +90,9 @@
         return self._links.get(name)
 
     def sync_links(self, owner):
-        """Have one link for each member of the state.
+        """Open and close links so that each member of the state has one.
 
-        :param owner: what the links call
+        :param owner: the ``owner.Owner`` that the links call
         """
         wanted = dict(self._state.members)
         links = dict(self._links)
@@ -101,23 +110,23 @@
             link.__exit__(None, None, None)
 
     def has_settled(self, now):
-        """Tell whether the members have had time to report.
+        """Tell whether the members have had enough time to report.
 
-        A new owner that placed at once would put everything on the VMs
+        An owner that placed tasks at once would put all of them on the VMs
         that happened to report first.
         """
-        if now - self._began >= SETTLE_SECONDS:
+        if now - self._began >= MAX_SETTLE_SECONDS:
             return True
         links = self.list_links()
         granted = sum(1 for link in links if link.view.granted)
         if granted == len(links):
             return True
-        # One that is gone need not hold up all others.
-        most = granted >= SETTLE_SHARE * len(links)
-        return most and now - self._began >= SETTLE_MOST_SECONDS
+        # A lost member must not delay the others.
+        enough = granted >= SETTLE_SHARE * len(links)
+        return enough and now - self._began >= MIN_SETTLE_SECONDS
 
     def is_silent(self, name, now):
-        """Tell whether a member has not been heard for too long."""
+        """Tell whether no heartbeat has come for ``limits.unreachable``."""
         link = self._links.get(name)
         limit = self._env.limits.unreachable
         if link is None or link.view.heard is None:
@@ -125,17 +134,17 @@
         return now - link.view.heard >= limit
 
     def has_reported(self, name):
-        """Tell whether a member has told what its worker runs."""
+        """Tell whether a side has reported what its worker runs."""
         link = self._links.get(name)
         return link is not None and link.view.reported
 
     def is_leaving(self, name):
-        """Tell whether the platform is about to take a VM away."""
+        """Tell whether the platform is about to remove a VM."""
         listed = self._listed.get(name)
         return listed is not None and listed.state != data.VmState.LIVE
 
     def view_vms(self):
-        """Return all members as placement sees them."""
+        """Return a ``vmview.VmView`` of each member, for placement."""
         now = self._env.clock.read_monotonic()
         weigher = precedence.Weigher(
             self._state, self._env.clock.read_unix_ms(), self._runtimes
@@ -151,31 +160,31 @@
             view.rack = link.view.rack or view.rack
             view.life = link.view.life
             view.take_pairs(self._pairs, link.view.headrooms)
-            self._count_fill(link, view, weigher)
-            self._note_suspects(view)
-            view.closed = self._find_closed(
+            self._add_fill(link, view, weigher)
+            self._add_suspects(view)
+            view.closed = self._find_closed_reason(
                 name, link, now
-            ) or self._find_zone_closed(link)
+            ) or self._find_zone_closed_reason(link)
             view.probe = self._health.is_probed(name, now)
             views.append(view)
         self._pressure.fill_views(views, now)
         return views
 
-    def _count_fill(self, link, view, weigher):
-        """Add what fills a VM beside what it has reserved."""
-        paces = {
-            (one.task, one.attempt): one.percent for one in link.view.paced
+    def _add_fill(self, link, view, weigher):
+        """Add the load of a VM beyond its reserved resources to its view."""
+        pace_percents = {
+            (pace.task, pace.attempt): pace.percent for pace in link.view.paced
         }
         for task in self._state.held[link.name].values():
             record = self._state.find_workload(task.id)
             view.count_fill(record.workload)
             if record.workload.fills:
-                percent = paces.get((task.id, task.attempt), 100)
+                percent = pace_percents.get((task.id, task.attempt), 100)
                 weight = weigher.weigh(record)
                 view.note_filling(record.workload, weight, percent / 100)
 
-    def _note_suspects(self, view):
-        """Add what may crash the worker of a VM."""
+    def _add_suspects(self, view):
+        """Add the tasks that may crash the worker of a VM to its view."""
         if not self._state.suspects:
             return
         for task in self._state.held[view.vm.name].values():
@@ -185,53 +194,53 @@
 
     def pick_successor(self, now):
         """Return the name of a member that can take over, or ''."""
-        return next(iter(self.list_usable(now)), '')
+        return next(iter(self.list_successor_candidates(now)), '')
 
-    def list_usable(self, now):
-        """Return the names of the other members that are well."""
+    def list_successor_candidates(self, now):
+        """Return the names of the other members that are not closed."""
         return [
             name
             for name, link in self._links.items()
             if name != self._env.name
-            and not self._find_closed(name, link, now)
+            and not self._find_closed_reason(name, link, now)
         ]
 
     def read_vm_list(self, now):
-        """Read the VM list if it is time.
+        """Read the VM list if the interval has passed.
 
-        It may take as long as the store does, so that it is called without
-        the owner's lock: links answer heartbeats under it.
+        Must be called without the lock of the owner, which links need to
+        answer heartbeats: the read may take as long as the store does.
         """
-        if now < self._next_listing:
+        if now < self._next_list_read:
             return
-        self._next_listing = now + VMLIST_SECONDS
+        self._next_list_read = now + VM_LIST_INTERVAL_SECONDS
         answer = self._env.vmlist.read()
         if answer.is_ok():
-            self._ours = planning.pick_members(
+            self._unprocessed_vms = planning.pick_members(
                 answer.ok_value, self._env.shard
             )
 
     def take_change(self, now):
-        """Take what was read of the VM list.
+        """Process the VM list that was read last.
 
-        :returns: an event that changes the member list by one, or None
+        :returns: an event that adds or removes one member, or None
         """
-        ours, self._ours = self._ours, None
-        if ours is None:
+        shard_vms, self._unprocessed_vms = self._unprocessed_vms, None
+        if shard_vms is None:
             return None
-        self._listed = {vm.name: vm for vm in ours}
-        self._listed_at.update((vm.name, now) for vm in ours)
+        self._listed = {vm.name: vm for vm in shard_vms}
+        self._listed_at.update((vm.name, now) for vm in shard_vms)
         if not self._grants.has_majority(now):
-            # Only who has had a majority of the list may change it, so
-            # that two owners never reckon with lists that do not overlap.
+            # Only an owner that a majority has confirmed may change the list,
+            # so that the majorities of two owners always overlap.
             return None
-        event = self._find_change(ours, now)
+        event = self._find_change(shard_vms, now)
         if event is not None:
-            self._next_listing = now
+            self._next_list_read = now
         return event
 
-    def _find_change(self, ours, now):
-        for vm in ours:
+    def _find_change(self, shard_vms, now):
+        for vm in shard_vms:
             known = self._state.members.get(vm.name)
             if known is None or not planning.is_same_place(known, vm):
                 return events.MemberAdded(vm)
@@ -241,13 +250,13 @@
         return None
 
     def _is_gone(self, name, now):
-        """Tell whether a VM is silent and off the list for long enough."""
-        seen = self._listed_at.setdefault(name, now)
-        unlisted = now - seen >= self._env.limits.gone
+        """Tell whether a VM is silent and long missing from the list."""
+        last_listed = self._listed_at.setdefault(name, now)
+        unlisted = now - last_listed >= self._env.limits.gone
         return unlisted and self.is_silent(name, now)
 
-    def _find_closed(self, name, link, now):
-        """Return why a VM gets nothing new, or ''."""
+    def _find_closed_reason(self, name, link, now):
+        """Return why a VM gets no new tasks, or ''."""
         if link.view.heard is None or self.is_silent(name, now):
             return CLOSED_UNREACHABLE
         if not (link.view.reported and link.view.granted):
@@ -260,19 +269,20 @@
             return CLOSED_QUARANTINED
         return ''
 
-    def _find_zone_closed(self, link):
-        """Return why nothing may begin in a VM's zone, or ''.
+    def _find_zone_closed_reason(self, link):
+        """Return why a VM's zone gets no new tasks, or ''.
 
-        Its side may own the shard all the same.
+        Kept apart, as the side of a VM in a closed zone may still own the
+        shard.
         """
         zone = link.view.vm.availability_zone
         return CLOSED_ZONE if self._env.zones.is_closed(zone) else ''
 
     def knows_zones(self, now):
-        """Tell whether it is known well enough which zones are closed.
+        """Tell whether the reading of the closed zones is recent enough.
 
-        A new owner reads it itself first: what its side was told may be as
-        old as the owner before it.
+        A new owner must have read them itself: what its side was told may be
+        as old as the owner before it.
         """
         oldest = max(self._began, now - zones.MAX_AGE_SECONDS)
         return self._env.zones.is_known_since(oldest)
@@ -283,5 +293,5 @@
             link.send(message)
 
     def make_resignation(self, epoch, now):
-        """Return the message that hands the shard over."""
+        """Return the message that hands the shard over to a successor."""
         return messages.Resignation(epoch, self.pick_successor(now))
--- a/packages/scheduler/portwharf/scheduler/membership_test.py
+++ b/packages/scheduler/portwharf/scheduler/membership_test.py
@@ -28,15 +28,15 @@
 def test_one_that_is_gone_is_waited_for_a_moment(case):
     members, began = open_members(4, 3)
     case.assertFalse(members.has_settled(began))
-    soon = began + membership.SETTLE_MOST_SECONDS
+    soon = began + membership.MIN_SETTLE_SECONDS
     case.assertTrue(members.has_settled(soon))
 
 
 def test_owner_that_few_have_joined_waits(case):
     members, began = open_members(4, 2)
-    soon = began + membership.SETTLE_MOST_SECONDS
+    soon = began + membership.MIN_SETTLE_SECONDS
     case.assertFalse(members.has_settled(soon))
-    case.assertTrue(members.has_settled(began + membership.SETTLE_SECONDS))
+    case.assertTrue(members.has_settled(began + membership.MAX_SETTLE_SECONDS))
 
 
 def test_side_is_greeted_while_the_vm_list_is_slow(case):
@@ -59,7 +59,7 @@
         greeted.set()
 
     made.listing.read = read
-    made.time.advance(membership.VMLIST_SECONDS)
+    made.time.advance(membership.VM_LIST_INTERVAL_SECONDS)
     threads = [
         threading.Thread(target=target) for target in (owner.step, greet_side)
     ]
--- a/packages/scheduler/portwharf/scheduler/owner.py
+++ b/packages/scheduler/portwharf/scheduler/owner.py
@@ -1,13 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The owner of a shard: the one process that decides for its VMs.
-
-One thread decides. It takes what has come in (reports, operators' calls),
-works out the events, appends them to the log as one entry, and only then
-sends commands and answers: nobody hears of anything that a later owner
-would not know. While the store does not answer it waits with the same
-append; connections, grants and reads go on in their own threads, and new
-submissions are refused at once.
+"""The owner of a shard: the one process that decides for the shard's VMs.
+
+One thread makes all decisions. It takes the queued input (reports of sides and
+calls of operators), computes the resulting events, appends them to the shard's
+log as one entry, and only then sends commands and answers. Nothing is told to
+anyone that a later owner would not find in the log. While the store does not
+answer, the thread retries the same append; connections, grants and reads go on
+in their own threads, and new submissions are refused at once.
 """
 
 import logging
@@ -32,14 +32,13 @@
 
 LOG = logging.getLogger(__name__)
 
-# Items taken into one pass, so that an entry stays under the store's limit.
+# Largest number of items in one pass; keeps log entries small.
 MAX_ITEMS = 400
 SNAPSHOT_ENTRIES = 300
-# Calls are refused once an append has been under way for so long; the
-# slowest that a working store was seen to take is 0.4 s.
+# Changing calls are refused once an append has been pending this long.
 STALL_SECONDS = 0.5
-# After so long another VM is asked whether the store answers it.
-INVITE_SECONDS = 0.8
+# Once an append has been pending this long, another VM is asked to take over.
+TAKEOVER_REQUEST_SECONDS = 0.8
 _TICK_SECONDS = 0.5
 _RETRY_SECONDS = 0.2
 _MAX_RETRY_SECONDS = 0.4
@@ -47,40 +46,45 @@
 
 
 class Owner:
-    """The owner role; a context manager that ends it."""
+    """The owner role; a context manager that ends it on exit."""
 
     def __init__(self, env, log, state):
-        """Take over with a state whose last event made us the owner."""
+        """Start from a state whose last event made this process the owner.
+
+        :param env: an ``environment.Environment``
+        :param log: the ``shardlog.ShardLog``, read to its end
+        :param state: the ``state.ShardState`` at that end
+        """
         self._env = env
         self._log = log
         self._state = state
         self._lock = threading.RLock()
         self._inbox = queue.SimpleQueue()
         self._stop = threading.Event()
-        self._lost = False
-        self._suspect = threading.Event()
+        self._lost_ownership = False
+        self._check_requested = threading.Event()
         self._superseded = False
-        self._invited = 0
+        self._takeover_requests = 0
         self._batch = None
-        self._cut = 0
+        self._entry_size = 0
         self._pending_since = None
         self._next_append = 0.0
-        self._next_check = 0.0
+        self._next_store_check = 0.0
         self._snapshot_seq = log.next_seq
-        ailing = health.Health()
+        worker_health = health.Health()
         self._grants = grants.GrantTable(state.members, env.limits)
         self._advisor = policy.Advisor(
             env.policy, env.clock, lambda: self._inbox.put(None)
         )
         self._decider = decider.Decider(
-            env, state, self._grants, ailing, self._advisor
+            env, state, self._grants, worker_health, self._advisor
         )
         self._pairing = pairing.Pairing()
         self._members = membership.Membership(
             env,
             state,
             self._grants,
-            ailing,
+            worker_health,
             self._decider.pressure,
             self._pairing.presses,
             self._decider.runtimes,
@@ -89,7 +93,7 @@
         self._desk = desk.Desk(
             env, self, self._lock, state, self._members, self._decider
         )
-        # Items that came in while an append was stalled.
+        # Items that arrived while an append was stalled.
         self._deferred = []
         self._config = configuration.ConfigWatcher(
             env.kv, env.keeper, env.config_key
@@ -107,19 +111,19 @@
         return self
 
     def __exit__(self, *exc_info):
-        """End the role, handing it over if it is still ours."""
+        """End the role; resign unless another process took over."""
         self._stop.set()
         self._config.__exit__()
         self._advisor.__exit__()
         self._inbox.put(None)
         self._thread.join()
-        if not self._lost and self._batch is None:
+        if not self._lost_ownership and self._batch is None:
             self.resign()
         self._members.close()
 
     @property
     def epoch(self):
-        """The epoch that this owner owns the shard under."""
+        """The epoch of this owner."""
         return self._state.epoch
 
     @property
@@ -129,7 +133,7 @@
 
     @property
     def stalled(self):
-        """Whether an append is under way that has to be tried again."""
+        """Whether an append is pending that has to be retried."""
         return self._batch is not None
 
     def list_links(self):
@@ -137,17 +141,17 @@
         return self._members.list_links()
 
     def resign(self):
-        """Tell the members that we stop, and who should follow.
+        """Tell the members that this owner stops, and name a successor.
 
-        Called when the deciding thread has ended or is the caller, with no
-        append under way.
+        Called by the deciding thread, or after it has ended, with no append
+        pending.
         """
         now = self.read_clock()
         message = self._members.make_resignation(self.epoch, now)
         self._members.announce(message)
         LOG.info('resigned to %s', message.successor, extra=self._extra())
 
-    # What the members' links call, each from its own thread.
+    # Called by the members' links, each from its own thread.
 
     def dial(self, vm):
         """Connect to a member."""
@@ -158,7 +162,7 @@
         return self._env.clock.read_monotonic()
 
     def make_hello(self):
-        """Return the greeting of this owner."""
+        """Return the greeting that this owner sends to a side."""
         return messages.Hello(
             role='owner',
             name=self._env.name,
@@ -168,13 +172,13 @@
         )
 
     def make_config(self):
-        """Return the configuration in force, for a side."""
+        """Return the configuration in force, as a message for a side."""
         return self._env.keeper.make_update()
 
     def make_grant(self, member, side_ms):
         """Return the answer to a heartbeat.
 
-        :param side_ms: the heartbeat's time, or 0 if there was none
+        :param side_ms: the time in the heartbeat, or 0 if there was none
         """
         now = self.read_clock()
         valid = side_ms > 0 and not self.deposed.is_set()
@@ -182,33 +186,33 @@
         return messages.Grant(side_ms, int(now * _MS), self.epoch, valid)
 
     def make_zones(self):
-        """Return which availability zones are closed, for a side."""
+        """Return the closed availability zones, as a message for a side."""
         return self._env.zones.make_update()
 
     def make_held(self, member):
-        """Return what a member's VM holds, for its side."""
+        """Return the tasks that a member holds by the log, for its side."""
         with self._lock:
             runtimes = self._decider.runtimes
             return reconcile.make_held(self._state, member, runtimes)
 
     def make_rosters(self):
-        """Return the rosters, for a side."""
+        """Return the rosters, as a message for a side."""
         return self._decider.rosters.make_update()
 
     def make_presses(self):
-        """Return what is known of pairs of images, for a side."""
+        """Return the known effects between pairs of images, for a side."""
         return self._pairing.make_update()
 
     def take_known(self, known):
-        """Begin with what a former owner has told a side of pairs."""
+        """Adopt the pair effects that a former owner told a side."""
         self._pairing.adopt(known)
 
     def take_observed(self, observed):
-        """Learn from what a side has observed of pairs of images."""
+        """Add what a side has measured of pairs of images."""
         self._pairing.learn(observed)
 
     def record_ack(self, member, beat):
-        """Count a heartbeat that acknowledges our epoch."""
+        """Record a heartbeat that acknowledges this epoch."""
         if beat.epoch == self.epoch:
             self._decider.rosters.note_ack(member, beat.roster_seq)
         if beat.epoch == self.epoch and beat.owner_ms:
@@ -216,34 +220,34 @@
             self._grants.record_ack(member, beat.owner_ms / _MS, now)
 
     def tell_config(self):
-        """Pass the configuration in force down to the sides."""
+        """Send the configuration in force to all sides."""
         self._members.announce(self.make_config())
 
     def tell_zones(self):
-        """Tell the sides of closed zones, and go over what waits."""
+        """Send the closed zones to all sides and wake the deciding thread."""
         self._members.announce(self.make_zones())
         self._inbox.put(None)
 
     def note_epoch(self, epoch):
-        """Look at the log if a member knows a higher epoch than ours."""
+        """Check the log if a member knows a higher epoch."""
         if epoch > self.epoch:
-            self._suspect.set()
-            # Only an append to the log makes a higher epoch.
+            self._check_requested.set()
+            # A higher epoch exists only once it is in the log.
             self._superseded = True
 
     def take_reports(self, link, message):
-        """Queue a side's reports."""
+        """Queue the reports of a side."""
         connection = link.view.connection
         self._inbox.put(batches.Reported(link, message, connection))
 
     def take_measures(self, vm, measures):
-        """Queue what a side measured of its services."""
+        """Queue the service measurements of a side."""
         self._inbox.put(batches.Measured(vm, measures))
 
-    # What entries call, each from its connection's thread.
+    # Called by entries, each from the thread of its connection.
 
     def operate(self, operation):
-        """Carry out an operator's call.
+        """Carry out a call of an operator.
 
         :returns: a ``messages.OperationResult``
         """
@@ -251,23 +255,25 @@
 
     @property
     def log_length(self):
-        """How many entries the log has had."""
+        """The number of entries appended to the log so far."""
         return self._log.next_seq
 
     def is_confirmed(self):
-        """Tell whether nobody can have followed this owner by now.
+        """Tell whether no other process can have taken over by now.
 
-        As far as that was asked lately: after a pause it is not known.
+        Holds for ``limits.confirm`` seconds after a majority or the store last
+        confirmed the ownership; False after a pause until it is confirmed
+        again.
         """
         return self._grants.may_grant(self.read_clock())
 
     def takes_calls(self):
-        """Tell whether changing calls have a chance to be logged now."""
+        """Tell whether changing calls can be logged at present."""
         return not self.deposed.is_set() and not self._is_stalled()
 
-    def take_call(self, called):
-        """Queue an operator's changing call."""
-        self._inbox.put(called)
+    def take_call(self, call):
+        """Queue a changing call of an operator."""
+        self._inbox.put(call)
 
     # The deciding thread.
 
@@ -276,9 +282,9 @@
         wait = _RETRY_SECONDS
         try:
             while not self._stop.is_set():
-                step = self.step(self._wait_for_items())
+                step = self.step(self._wait_for_input())
                 if step is batches.Step.DEPOSED:
-                    self._lost = True
+                    self._lost_ownership = True
                     break
                 if step is batches.Step.DONE:
                     wait = _RETRY_SECONDS
@@ -291,8 +297,8 @@
             self._refuse_inbox()
             LOG.info('owner ends', extra=self._extra())
 
-    def _wait_for_items(self):
-        """Return what has come in, waiting a tick for the first."""
+    def _wait_for_input(self):
+        """Return the queued items; wait up to one tick for the first."""
         if self._batch is not None:
             return []
         items = []
@@ -306,33 +312,33 @@
         return items + self.take_items()
 
     def take_items(self):
-        """Return what has come in, without waiting."""
+        """Return the queued items without waiting."""
         items = []
         while len(items) < MAX_ITEMS and not self._inbox.empty():
             items.append(self._inbox.get())
         return items
 
     def step(self, items=()):
-        """Decide on what has come in, log it, then act.
+        """Decide on queued items, append the events, then act on them.
 
-        An append that has stalled is tried again before anything new is
-        decided; ``items`` must be empty then. Called by the deciding
-        thread alone, or by a test in its place.
+        A stalled append is retried before anything new is decided; ``items``
+        must be empty then. Called by the deciding thread alone, or by a test
+        in its place.
 
         :returns: a ``batches.Step``
         """
         if self._superseded:
-            LOG.warning('deposed, by a higher epoch', extra=self._extra())
+            LOG.warning('deposed by a higher epoch', extra=self._extra())
             self.deposed.set()
             return batches.Step.DEPOSED
         if self._batch is None:
-            if not self._confirm():
+            if not self._confirm_ownership():
                 self.deposed.set()
                 return batches.Step.DEPOSED
             self._members.sync_links(self)
-            self._tell_presses()
+            self._announce_presses()
             self._members.read_vm_list(self.read_clock())
-            self._read_zones()
+            self._refresh_zones()
             items = [*self._deferred, *items]
             self._deferred = []
             with self._lock:
@@ -343,38 +349,43 @@
         if step is batches.Step.DEPOSED:
             self.deposed.set()
         if step is batches.Step.DONE:
-            # The append may have waited for long. What is told of zones comes
-            # before the starts on each connection, and sides go by it.
-            self._read_zones()
+            # The append may have taken long. Sides check starts against the
+            # closed zones they were told, so these go out first on each
+            # connection.
+            self._refresh_zones()
             batch, self._batch = self._batch, None
             for effect in batch.effects:
                 effect()
-            self._snapshot()
+            self._write_snapshot_if_due()
         return step
 
-    def _tell_presses(self):
-        """Pass on what sides have learnt, now and then."""
+    def _announce_presses(self):
+        """Send changed pair effects to all members, at intervals."""
         update = self._pairing.take_news(self.read_clock())
         if update is not None:
             self._members.announce(update)
 
-    def _read_zones(self):
-        """Read which zones are closed, if what is known is old.
+    def _refresh_zones(self):
+        """Read the closed zones if the last reading is too old.
 
-        It may take as long as the store does, so without the lock.
+        Runs without the lock, as it may wait for the store.
         """
         if not self._members.knows_zones(self.read_clock()):
             self._env.zones.look(self._env.kv)
 
     def serve_stalled(self):
-        """Go on as far as that needs no append, while one is stalled."""
+        """Handle input that needs no append, while one is stalled.
+
+        Refuses calls, keeps reports for later, and starts prepared tasks where
+        reports have freed resources.
+        """
         items = self.take_items()
         for item in items:
             if isinstance(item, batches.Called):
                 desk.refuse_call(item)
             elif item is not None:
                 self._deferred.append(item)
-        self._invite()
+        self._request_takeover()
         for item in items:
             if isinstance(item, batches.Reported):
                 starts = self._decider.preparation.note_stalled(
@@ -383,92 +394,97 @@
                 for start in starts:
                     item.link.send(start)
 
-    def _invite(self):
-        """Ask a member, each time the next, to take the shard over.
+    def _request_takeover(self):
+        """Ask a member, a different one each time, to take the shard over.
 
-        The store may refuse this VM and serve others. Until one of them
-        has appended its epoch, this owner goes on granting; if none can,
-        it stays the owner.
+        The store may be unreachable from this VM and reachable from others.
+        Until one of them has appended its epoch, this owner goes on granting;
+        if none can, it remains the owner.
         """
         since = self._pending_since
-        if since is None or self.read_clock() - since < INVITE_SECONDS:
+        if (
+            since is None
+            or self.read_clock() - since < TAKEOVER_REQUEST_SECONDS
+        ):
             return
-        names = self._members.list_usable(self.read_clock())
+        names = self._members.list_successor_candidates(self.read_clock())
         if not names:
             return
-        self._invited += 1
-        name = names[self._invited % len(names)]
-        LOG.warning('asks for a successor', extra=logs.fields(peer=name))
+        self._takeover_requests += 1
+        name = names[self._takeover_requests % len(names)]
+        LOG.warning('requested takeover', extra=logs.fields(peer=name))
         message = messages.Resignation(self.epoch, name)
         self._members.get_link(name).send(message)
 
     # The log.
 
-    def _confirm(self):
-        """Ask the store whether we still own the shard, when needed.
+    def _confirm_ownership(self):
+        """Ask the store whether this is still the owner, when needed.
 
-        :returns: False when we do not
+        :returns: False if another process has taken over
         """
         now = self.read_clock()
-        asked = self._suspect.is_set()
-        if not asked and self._grants.has_majority(now):
+        requested = self._check_requested.is_set()
+        if not requested and self._grants.has_majority(now):
             return True
-        if not asked and now < self._next_check:
+        if not requested and now < self._next_store_check:
             return True
-        self._next_check = now + self._env.limits.confirm / 3
+        self._next_store_check = now + self._env.limits.confirm / 3
         answer = self._log.check_head()
         if answer.is_err():
             return True
-        self._suspect.clear()
+        self._check_requested.clear()
         if answer.ok_value:
             self._grants.record_store(now)
             return True
-        LOG.warning('deposed, by the log', extra=self._extra())
+        LOG.warning('deposed by the log', extra=self._extra())
         return False
 
     def _commit(self):
-        """Append the batch's events, as many entries as they need."""
-        rest = self._batch.events
-        while rest:
-            # A stalled piece is tried again as it was.
-            self._cut = self._cut or shardlog.cut_batch(rest)
-            piece = rest[: self._cut]
-            step = self._append(piece)
+        """Append the events of the batch, split into entries as needed."""
+        remaining = self._batch.events
+        while remaining:
+            # A stalled entry must be retried with the same events.
+            self._entry_size = (
+                self._entry_size or shardlog.count_fitting_events(remaining)
+            )
+            chunk = remaining[: self._entry_size]
+            step = self._append_entry(chunk)
             if step is not batches.Step.DONE:
                 return step
-            del rest[: self._cut]
-            self._cut = 0
+            del remaining[: self._entry_size]
+            self._entry_size = 0
         return batches.Step.DONE
 
-    def _append(self, piece):
-        sent = self.read_clock()
-        self._pending_since = self._pending_since or sent
-        answer = self._log.append(piece)
+    def _append_entry(self, chunk):
+        sent_at = self.read_clock()
+        self._pending_since = self._pending_since or sent_at
+        answer = self._log.append(chunk)
         metrics.APPENDS.inc()
         if answer.is_ok():
             self._pending_since = None
             self._decider.preparation.note_confirmed()
-            self._grants.record_store(sent)
-            self._next_append = sent + self._env.append_interval
+            self._grants.record_store(sent_at)
+            self._next_append = sent_at + self._env.append_interval
             return batches.Step.DONE
         error = answer.err_value
         if isinstance(error, shardlog.Deposed):
-            LOG.warning('deposed, by an append', extra=self._extra())
+            LOG.warning('deposed by an append', extra=self._extra())
             return batches.Step.DEPOSED
         LOG.warning('append stalled: %s', error.text, extra=self._extra())
         return batches.Step.STALLED
 
-    def _snapshot(self):
-        """Write a snapshot now and then."""
+    def _write_snapshot_if_due(self):
+        """Write a snapshot every ``SNAPSHOT_ENTRIES`` entries."""
         if self._log.next_seq - self._snapshot_seq < SNAPSHOT_ENTRIES:
             return
         self._snapshot_seq = self._log.next_seq
         with self._lock:
             raw = self._state.pack()
-            aside = self._state.pack_history()
-        written = self._log.write_snapshot(raw, aside)
+            history = self._state.pack_history()
+        written = self._log.write_snapshot(raw, history)
         if written.is_err():
-            LOG.warning('no snapshot: %s', written.err_value)
+            LOG.warning('snapshot not written: %s', written.err_value)
 
     def _is_stalled(self):
         since = self._pending_since
@@ -477,7 +493,7 @@
         )
 
     def _refuse_inbox(self):
-        """Answer the calls that will not be carried out any more."""
+        """Refuse the queued calls, which will not be carried out."""
         for item in [*self._deferred, *self.take_items()]:
             if isinstance(item, batches.Called):
                 desk.refuse_call(item)
--- a/packages/scheduler/portwharf/scheduler/shardlog.py
+++ b/packages/scheduler/portwharf/scheduler/shardlog.py
@@ -1,16 +1,17 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A shard's log in the platform's store; who appends to it owns the shard.
-
-An entry is one key, made only if it does not exist and only while the
-entry before it is unchanged. The second condition matters: old entries are
-trimmed away, and without it an owner that was paused for long would find
-its stale number free again and believe that it still owns the shard.
-Entry 0 is never trimmed for the same reason.
-
-An append whose answer is lost is read back: ours (by its nonce), absent
-(sent again, the same bytes under the same key), or another's (deposed).
-There is no other way to lose the log, and no lease to renew.
+"""A shard's log in the platform's store; its last writer owns the shard.
+
+An entry is one key. It is created only if the key does not exist and the
+previous entry is unchanged. The second condition is needed because old entries
+are trimmed: without it, an owner that was paused for long would find its stale
+entry number unused and believe that it still owns the shard. For the same
+reason entry 0 is never trimmed.
+
+An append whose answer was lost is resolved by reading the key back: it holds
+our entry (recognized by its nonce), nothing (the same bytes are sent again
+under the same key), or the entry of another writer (this one is deposed).
+Ownership is lost in no other way, and no lease has to be renewed.
 """
 
 import dataclasses
@@ -28,39 +29,39 @@
 
 LOG = logging.getLogger(__name__)
 
-# Entries read in one call.
-READ_LIMIT = 200
-# A batch is cut so that an entry stays well under the store's limit.
+# Largest number of entries read in one call.
+READ_MAX_ENTRIES = 200
+# Keeps an entry well under the size limit of the store.
 MAX_ENTRY_BYTES = 700_000
 SNAPSHOT_CHUNK_BYTES = 700_000
-_READ_TRIES = 5
-# Events repeat names and reasons: at the fastest level an entry of 2 KB takes
-# a sixth of its bytes, for 0.04 ms. What all sides read at once after a loss
-# of power, 2.4 MB each on 76, took a store's link of 1 Gbit/s two seconds.
-_LEVEL = 1
-# What compressed bytes begin with; a map of msgpack never does.
-_COMPRESSED = 0x78
+_MAX_READ_ATTEMPTS = 5
+# The fastest level; events repeat names and reasons and compress well. All
+# sides read the log at once after a power loss, so its size matters.
+_COMPRESSION_LEVEL = 1
+# First byte of a zlib stream, which no msgpack map starts with.
+_ZLIB_FIRST_BYTE = 0x78
 
 
 @dataclasses.dataclass(slots=True)
 class Deposed:
-    """Another process appended where we would have."""
+    """Another process has written the entry that we would have written."""
 
     seq: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class Stalled:
-    """The store gave no answer; the same append can be tried again."""
+    """The store did not confirm an append, which can be retried."""
 
     text: str = ''
 
 
 @dataclasses.dataclass(slots=True)
 class SnapshotHead:
-    """Which snapshot counts: the state after entry ``seq``.
+    """Names the snapshot in force: the state after entry ``seq``.
 
-    :param aside: chunks of what only an owner needs
+    :param chunks: the number of chunks of the state
+    :param aside: the number of chunks of the part that only an owner reads
     """
 
     seq: int = 0
@@ -70,12 +71,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Contents:
-    """What a log holds.
+    """The contents of a log.
 
     :param snapshot: packed state after entry ``seq``, or b''
-    :param aside: what only an owner needs of it, or b''
-    :param batches: the events of each entry after it
-    :param empty: nothing has ever been written
+    :param aside: the part of the snapshot that only an owner reads, or b''
+    :param seq: the number of the last entry
+    :param batches: the events of each entry after the snapshot
+    :param empty: the log has no entries
     """
 
     snapshot: bytes = b''
@@ -85,8 +87,8 @@
     empty: bool = False
 
 
-def cut_batch(batch):
-    """Return how many of a batch's events fit into one entry, at least 1."""
+def count_fitting_events(batch):
+    """Return how many leading events fit into one entry, at least 1."""
     size = 0
     for count, row in enumerate(events.write_events(batch)):
         size += len(msgpack.packb(row))
@@ -96,112 +98,120 @@
 
 
 class ShardLog:
-    """One shard's log, read and appended to by one process."""
+    """One shard's log, as read and appended to by one process."""
 
     def __init__(self, kv, shard):
         """Take the store and the shard's number."""
         self._kv = kv
         self._shard = shard
         self._prefix = f'shards/{shard:04d}/'
-        # The last entry that we know, guard of the next append.
-        self._last = None
-        self._next = 0
-        self._head = None
+        # The last known entry; the next append requires that it is unchanged.
+        self._last_entry = None
+        self._next_seq = 0
+        self._snapshot_head = None
         self._pending = None
 
     @property
     def next_seq(self):
-        """The number of the entry that comes next."""
-        return self._next
+        """The number of the next entry."""
+        return self._next_seq
 
     def read(self, whole=True):
-        """Read snapshot and tail, and stand at the log's end.
+        """Read the snapshot and the entries after it, to the end of the log.
 
-        :param whole: with what only an owner needs
+        :param whole: include the part that only an owner reads
         :returns: Ok(Contents), or Err(StoreError)
         """
         self._pending = None
-        for _ in range(_READ_TRIES):
+        for _ in range(_MAX_READ_ATTEMPTS):
             contents = self._read_once(whole)
             if contents.is_err() or contents.ok_value is not None:
                 return contents
-        return result.Err(store.StoreError('the log changes too fast'))
+        return result.Err(
+            store.StoreError('the log was trimmed during each read')
+        )
 
     def append(self, batch):
-        """Append events, or try again the append that stalled before.
+        """Append events, or retry the append that stalled before.
 
-        :param batch: events; on a second try the same as before
+        :param batch: list of events; on a retry the same as before
         :returns: Ok(seq), Err(Deposed) or Err(Stalled)
         """
         if self._pending is None:
-            self._pending = _Pending.make(batch)
-        key = self._name_entry(self._next)
-        answer = self._kv.swap(key, self._pending.raw, 0, self._last)
+            self._pending = _PendingAppend.make(batch)
+        key = self._make_entry_key(self._next_seq)
+        answer = self._kv.swap(key, self._pending.raw, 0, self._last_entry)
         if answer.is_ok() and answer.ok_value.done:
             return self._advance(key, answer.ok_value.revision)
         return self._read_back(key)
 
     def check_head(self):
-        """Tell by one read whether our last entry is still the last.
+        """Tell by one read whether our last entry is still the last one.
 
         :returns: Ok(bool), or Err(StoreError)
         """
-        first = self._name_entry(self._next - 1)
-        last = self._name_entry(self._next + 1)
+        first = self._make_entry_key(self._next_seq - 1)
+        last = self._make_entry_key(self._next_seq + 1)
         answer = self._kv.read_range(first, last, keys_only=True)
-        return answer.map(self._is_alone)
+        return answer.map(self._is_last_entry)
 
     def write_snapshot(self, raw, aside=b''):
-        """Write the state after the last entry, then trim.
+        """Write the state after the last entry, then trim the log.
 
-        A failure leaves the old snapshot in place and no harm done.
+        A failure leaves the old snapshot in force.
 
-        :param aside: what only an owner needs: after a loss of all power
-            every side reads the rest at the same moment
+        :param raw: the packed state
+        :param aside: the part that only an owner reads, kept apart because
+            every side reads the rest at the same time after a power loss
         :returns: Ok(None), or Err(StoreError or Deposed)
         """
-        seq = self._next - 1
-        chunks = _cut(_compress(raw), SNAPSHOT_CHUNK_BYTES)
-        extra = []
+        seq = self._next_seq - 1
+        chunks = _split(_compress(raw), SNAPSHOT_CHUNK_BYTES)
+        aside_chunks = []
         if aside:
-            extra = _cut(_compress(aside), SNAPSHOT_CHUNK_BYTES)
-        rows = [(self._name_chunk(seq, n), c) for n, c in enumerate(chunks)]
-        rows += [(self._name_aside(seq, n), c) for n, c in enumerate(extra)]
+            aside_chunks = _split(_compress(aside), SNAPSHOT_CHUNK_BYTES)
+        rows = [
+            (self._make_chunk_key(seq, n), c) for n, c in enumerate(chunks)
+        ]
+        rows += [
+            (self._make_aside_key(seq, n), c)
+            for n, c in enumerate(aside_chunks)
+        ]
         for key, chunk in rows:
             written = self._kv.swap(key, chunk, 0)
             if written.is_err():
                 return written
-        head = codec.pack(SnapshotHead(seq, len(chunks), len(extra)))
-        revision = self._head.revision if self._head else 0
-        swapped = self._kv.swap(self._head_key, head, revision)
+        head = codec.pack(SnapshotHead(seq, len(chunks), len(aside_chunks)))
+        revision = self._snapshot_head.revision if self._snapshot_head else 0
+        swapped = self._kv.swap(self._snapshot_head_key, head, revision)
         if swapped.is_err():
             return swapped
         if not swapped.ok_value.done:
             return result.Err(Deposed(seq))
-        self._head = store.Entry(
-            self._head_key, head, swapped.ok_value.revision
+        self._snapshot_head = store.Entry(
+            self._snapshot_head_key, head, swapped.ok_value.revision
         )
         return self._trim(seq)
 
     @property
-    def _head_key(self):
+    def _snapshot_head_key(self):
         return f'{self._prefix}head'
 
-    def _name_entry(self, seq):
+    def _make_entry_key(self, seq):
         return f'{self._prefix}log/{seq:012d}'
 
-    def _name_chunk(self, seq, number):
+    def _make_chunk_key(self, seq, number):
         return f'{self._prefix}snapshot/{seq:012d}/{number:04d}'
 
-    def _name_aside(self, seq, number):
-        # Behind the chunks of its own snapshot, so that it goes with them.
+    def _make_aside_key(self, seq, number):
+        # Sorts after the chunks of its snapshot and is trimmed with them.
         return f'{self._prefix}snapshot/{seq:012d}/aside/{number:04d}'
 
     def _advance(self, key, revision):
-        self._last = store.Entry(key, b'', revision)
-        self._next += 1
+        self._last_entry = store.Entry(key, b'', revision)
+        self._next_seq += 1
         self._pending = None
-        return result.Ok(self._next - 1)
+        return result.Ok(self._next_seq - 1)
 
     def _read_back(self, key):
         """Find out what became of an append that was not confirmed."""
@@ -212,32 +222,32 @@
         if entry is not None and entry.value == self._pending.raw:
             return self._advance(key, entry.revision)
         if entry is not None:
-            return result.Err(Deposed(self._next))
-        return self._check_last()
+            return result.Err(Deposed(self._next_seq))
+        return self._check_last_entry()
 
-    def _check_last(self):
-        """Tell apart an append that can go again from a trimmed log."""
-        if self._last is None:
+    def _check_last_entry(self):
+        """Tell an append that can be retried from a log that was trimmed."""
+        if self._last_entry is None:
             return result.Err(Stalled('the append did not arrive'))
-        found = self._kv.read(self._last.key)
+        found = self._kv.read(self._last_entry.key)
         if found.is_err():
             return result.Err(Stalled(found.err_value.text))
         if found.ok_value is None:
-            return result.Err(Deposed(self._next))
+            return result.Err(Deposed(self._next_seq))
         return result.Err(Stalled('the append did not arrive'))
 
-    def _is_alone(self, entries):
+    def _is_last_entry(self, entries):
         keys = [entry.key for entry in entries]
-        return keys == [self._name_entry(self._next - 1)]
+        return keys == [self._make_entry_key(self._next_seq - 1)]
 
     def _read_once(self, whole):
-        """Read all; Ok(None) if it was trimmed under our hands."""
-        head = self._kv.read(self._head_key)
+        """Read the log; Ok(None) if it was trimmed in the meantime."""
+        head = self._kv.read(self._snapshot_head_key)
         if head.is_err():
             return head
-        self._head = head.ok_value
+        self._snapshot_head = head.ok_value
         contents = Contents()
-        if self._head is not None:
+        if self._snapshot_head is not None:
             snapshot = self._read_snapshot(whole)
             if snapshot.is_err() or snapshot.ok_value is None:
                 return snapshot
@@ -245,73 +255,78 @@
         return self._read_tail(contents)
 
     def _read_snapshot(self, whole):
-        """Read the chunks of a snapshot; Ok(None) if one is gone."""
-        head = codec.unpack(SnapshotHead, self._head.value)
-        names = [self._name_chunk(head.seq, n) for n in range(head.chunks)]
-        raw = self._read_chunks(names)
+        """Read the chunks of the snapshot; Ok(None) if one is missing."""
+        head = codec.unpack(SnapshotHead, self._snapshot_head.value)
+        keys = [self._make_chunk_key(head.seq, n) for n in range(head.chunks)]
+        raw = self._read_chunks(keys)
         if raw.is_err() or raw.ok_value is None:
             return raw
         contents = Contents(raw.ok_value, b'', head.seq)
         if whole and head.aside:
-            names = [self._name_aside(head.seq, n) for n in range(head.aside)]
-            aside = self._read_chunks(names)
+            keys = [
+                self._make_aside_key(head.seq, n) for n in range(head.aside)
+            ]
+            aside = self._read_chunks(keys)
             if aside.is_err() or aside.ok_value is None:
                 return aside
             contents.aside = aside.ok_value
         return result.Ok(contents)
 
-    def _read_chunks(self, names):
-        """Return the values of some keys, put together."""
+    def _read_chunks(self, keys):
+        """Return the decompressed concatenation of the values of some keys."""
         raw = b''
-        for name in names:
-            chunk = self._kv.read(name)
+        for key in keys:
+            chunk = self._kv.read(key)
             if chunk.is_err() or chunk.ok_value is None:
                 return chunk
             raw += chunk.ok_value.value
         return result.Ok(_decompress(raw))
 
     def _read_tail(self, contents):
-        has_snapshot = self._head is not None
+        has_snapshot = self._snapshot_head is not None
         seq = contents.seq if has_snapshot else 0
         last = store.find_prefix_end(f'{self._prefix}log/')
-        self._last = None
+        self._last_entry = None
         while True:
             answer = self._kv.read_range(
-                self._name_entry(seq), last, READ_LIMIT
+                self._make_entry_key(seq), last, READ_MAX_ENTRIES
             )
             if answer.is_err():
                 return answer
             for entry in answer.ok_value:
-                if entry.key != self._name_entry(seq):
+                if entry.key != self._make_entry_key(seq):
                     return result.Ok(None)
                 if not has_snapshot or seq > contents.seq:
                     contents.batches.append(_read_entry(entry))
-                self._last = store.Entry(entry.key, b'', entry.revision)
+                self._last_entry = store.Entry(entry.key, b'', entry.revision)
                 seq += 1
-            if len(answer.ok_value) < READ_LIMIT:
+            if len(answer.ok_value) < READ_MAX_ENTRIES:
                 break
-        if has_snapshot and self._last is None:
+        if has_snapshot and self._last_entry is None:
             return result.Ok(None)
-        self._next = seq
-        contents.empty = self._last is None
+        self._next_seq = seq
+        contents.empty = self._last_entry is None
         contents.seq = seq - 1
         return result.Ok(contents)
 
     def _trim(self, seq):
-        """Delete what the snapshot after entry ``seq`` stands for."""
-        first, last = self._name_entry(1), self._name_entry(seq)
+        """Delete the entries and snapshots that a snapshot replaces.
+
+        :param seq: the last entry that the snapshot covers
+        """
+        first, last = self._make_entry_key(1), self._make_entry_key(seq)
         trimmed = self._kv.delete_range(first, last)
         if trimmed.is_err():
             return trimmed
         first = f'{self._prefix}snapshot/'
-        last = self._name_chunk(seq, 0)
+        last = self._make_chunk_key(seq, 0)
         trimmed = self._kv.delete_range(first, last)
-        LOG.info('trimmed', extra=logs.fields(shard=self._shard))
+        LOG.info('trimmed log', extra=logs.fields(shard=self._shard))
         return trimmed.map(lambda _: None)
 
 
 @dataclasses.dataclass(slots=True)
-class _Pending:
+class _PendingAppend:
     """The bytes of an append that is not confirmed yet."""
 
     raw: bytes = b''
@@ -330,23 +345,25 @@
 
 
 def _compress(raw):
-    return zlib.compress(raw, _LEVEL)
+    return zlib.compress(raw, _COMPRESSION_LEVEL)
 
 
 def _decompress(raw):
-    """Return bytes as they were written, now or before any were compressed.
+    """Return the original bytes; older values are not compressed.
 
-    :raises ValueError: they are garbled
+    :raises ValueError: the bytes are not a zlib stream
     """
-    if not raw or raw[0] != _COMPRESSED:
+    if not raw or raw[0] != _ZLIB_FIRST_BYTE:
         return raw
     try:
         return zlib.decompress(raw)
     except zlib.error as exc:
-        raise ValueError(f'the log is garbled: {exc}') from exc
+        raise ValueError(
+            f'cannot decompress a value of the log: {exc}'
+        ) from exc
 
 
-def _cut(raw, size):
-    """Return bytes in pieces, at least one."""
+def _split(raw, size):
+    """Return bytes in pieces of at most ``size``, at least one piece."""
     pieces = [raw[at : at + size] for at in range(0, len(raw), size)]
     return pieces or [b'']
--- a/packages/scheduler/portwharf/scheduler/shardlog_test.py
+++ b/packages/scheduler/portwharf/scheduler/shardlog_test.py
@@ -51,9 +51,9 @@
 
 def test_read_goes_on_past_one_call(case):
     kv, _ = fixtures.make_store()
-    append_all(open_log(kv), shardlog.READ_LIMIT + 1)
+    append_all(open_log(kv), shardlog.READ_MAX_ENTRIES + 1)
     contents = shardlog.ShardLog(kv, 0).read().ok_value
-    case.assertEqual(len(contents.batches), shardlog.READ_LIMIT + 1)
+    case.assertEqual(len(contents.batches), shardlog.READ_MAX_ENTRIES + 1)
 
 
 def test_lost_answer_counts_as_ours(case):
--- a/packages/scheduler/portwharf/scheduler/zones_test.py
+++ b/packages/scheduler/portwharf/scheduler/zones_test.py
@@ -401,7 +401,7 @@
         case,
         test_all_zones_may_be_closed,
         membership.Membership,
-        '_find_zone_closed',
+        '_find_zone_closed_reason',
         lambda self, link: '',
     )
 
