--- a/packages/scheduler/portwharf/scheduler/grants_test.py
+++ b/packages/scheduler/portwharf/scheduler/grants_test.py
@@ -144,6 +144,6 @@
     made.accept_owner(4, 'vm-1')
     case.assertTrue(made.hears_owner(4))
     now.advance(LIMITS.takeover)
-    made.hold_off()
+    made.restart_wait()
     case.assertFalse(made.hears_owner(4))
     case.assertEqual(made.measure_silence(), 0)
--- a/packages/scheduler/portwharf/scheduler/guard.py
+++ b/packages/scheduler/portwharf/scheduler/guard.py
@@ -1,35 +1,35 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side knows of owners, and how long it may keep its tasks.
+"""The epochs and grants that a side knows of, and how long they hold.
 
-All times are on the side's own clock. A grant counts from the time that
-the side *sent* the heartbeat which it answers, so that no delay on the way
-can make it last longer than the owner reckons with.
+All times are on the clock of the side. A grant counts from the time that the
+side *sent* the heartbeat that it answers, so that a delay on the way cannot
+make it last longer than the owner assumes.
 """
 
 import threading
 
 from portwharf.peers import links
 
-# An owner that lives dials again, and greets, within this.
+# A live owner redials and greets within this time.
 REDIAL_SECONDS = links.REDIAL_SECONDS + 0.3
 
 
 class Guard:
-    """The side's own watch over epochs and grants."""
+    """Tracks the highest epoch and the owner's grants for a side."""
 
     def __init__(self, clock, limits):
-        """Take a ``Clock`` and the time limits."""
+        """Take a ``Clock`` and the ``limits.Limits``."""
         self._clock = clock
         self._limits = limits
         self._lock = threading.Lock()
         self._epoch = 0
         self._owner = ''
         self._forgetful = True
-        self._valid_until = 0.0
-        self._heard = None
-        self._called = 0
-        self._held_off = clock.read_monotonic()
+        self._granted_until = 0.0
+        self._last_heard = None
+        self._requested_epoch = 0
+        self._wait_began = clock.read_monotonic()
 
     @property
     def epoch(self):
@@ -38,52 +38,53 @@
 
     @property
     def owner(self):
-        """The VM of that epoch's owner, or ''."""
+        """The VM of the owner in that epoch, or ''."""
         return self._owner
 
     @property
     def forgetful(self):
-        """Whether the side has restarted and not yet learnt its epoch.
+        """Whether the side has restarted and not yet read its epoch.
 
-        Until it has, it may have acknowledged a higher epoch in its former
-        life, so it acknowledges none, obeys none and renews no lease.
+        Before the restart it may have acknowledged a higher epoch, so until
+        then it acknowledges no epoch, obeys no command and renews no lease.
         """
         return self._forgetful
 
     def learn_epoch(self, epoch):
-        """Take the epoch that the log's end shows."""
+        """Take the epoch at the end of the shard's log."""
         with self._lock:
-            self._raise_epoch(epoch, '')
+            self._advance_epoch(epoch, '')
             self._forgetful = False
 
     def accept_owner(self, epoch, name):
-        """Take a greeting of an owner.
+        """Record the greeting of an owner.
 
         :returns: False if a newer owner is known
         """
         with self._lock:
             if epoch < self._epoch:
                 return False
-            self._raise_epoch(epoch, name)
+            self._advance_epoch(epoch, name)
             self._owner = name
-            self._heard = self._clock.read_monotonic()
+            self._last_heard = self._clock.read_monotonic()
             return True
 
-    def accept_grant(self, epoch, sent, valid):
-        """Take the answer to a heartbeat.
+    def accept_grant(self, epoch, sent_at, valid):
+        """Record the answer to a heartbeat.
 
-        :param sent: our clock when the heartbeat was sent
+        :param sent_at: the clock of the side when the heartbeat was sent
+        :param valid: whether exclusive tasks may go on because of it
         """
         with self._lock:
             if epoch != self._epoch:
                 return
-            self._heard = self._clock.read_monotonic()
+            self._last_heard = self._clock.read_monotonic()
             if valid and not self._forgetful:
-                until = sent + self._limits.guard
-                self._valid_until = max(self._valid_until, until)
+                until = sent_at + self._limits.guard
+                self._granted_until = max(self._granted_until, until)
 
     def accepts(self, epoch):
-        """Tell whether a command of an epoch is to be obeyed."""
+        """Tell whether commands of an epoch are to be obeyed."""
         with self._lock:
             return epoch == self._epoch and not self._forgetful
 
@@ -91,73 +92,73 @@
         """Tell whether exclusive tasks may run now."""
         with self._lock:
             now = self._clock.read_monotonic()
-            return not self._forgetful and now < self._valid_until
+            return not self._forgetful and now < self._granted_until
 
     @property
     def granted_until(self):
-        """When the last grant ends, in seconds of our clock."""
-        return self._valid_until
+        """When the last grant ends, in seconds of the clock of the side."""
+        return self._granted_until
 
     def measure_silence(self):
-        """Return the seconds since the owner was heard or waited for."""
+        """Return the seconds since the owner was heard or the wait began."""
         with self._lock:
-            since = max(self._held_off, self._heard or 0.0)
+            since = max(self._wait_began, self._last_heard or 0.0)
             return self._clock.read_monotonic() - since
 
     def note_lost(self):
-        """Note that the owner's connection has ended.
+        """Record that the connection of the owner has ended.
 
-        An owner that lives dials again at once; one whose process has ended
-        need not be waited for as long as one that is only silent.
+        A live owner redials at once, so the rest of the silence before a
+        takeover is cut to the time that this takes.
         """
         with self._lock:
-            if self._heard is None:
+            if self._last_heard is None:
                 return
             now = self._clock.read_monotonic()
             heard = now + REDIAL_SECONDS - self._limits.takeover
-            self._heard = min(self._heard, heard)
+            self._last_heard = min(self._last_heard, heard)
 
     def hears_owner(self, epoch):
         """Tell whether the owner of an epoch, or a newer one, is heard."""
         with self._lock:
             if self._forgetful or self._epoch < epoch:
                 return False
-            if self._heard is None:
+            if self._last_heard is None:
                 return False
-            silence = self._clock.read_monotonic() - self._heard
+            silence = self._clock.read_monotonic() - self._last_heard
             return silence < self._limits.takeover
 
-    def accept_resignation(self, epoch, ours):
-        """Take that an owner stops.
+    def accept_resignation(self, epoch, is_successor):
+        """Record that the owner stops.
 
-        :param ours: this side is asked to take over at once
+        :param is_successor: this side is asked to take over at once
         """
         with self._lock:
             if epoch == self._epoch:
-                self._called = epoch if ours else 0
-                self._held_off = self._clock.read_monotonic()
+                self._requested_epoch = epoch if is_successor else 0
+                self._wait_began = self._clock.read_monotonic()
 
     @property
     def has_heard(self):
-        """Whether any owner was heard since the start."""
-        return self._heard is not None
+        """Whether any owner was heard since this process started."""
+        return self._last_heard is not None
 
     def take_call(self):
-        """Tell, once, whether the owner has asked this side to follow it."""
-        called = 0 < self._called == self._epoch
-        self._called = 0
-        return called
+        """Tell, once only, whether the owner asked this side to take over."""
+        requested = 0 < self._requested_epoch == self._epoch
+        self._requested_epoch = 0
+        return requested
 
-    def hold_off(self):
-        """Begin the wait for an owner afresh."""
+    def restart_wait(self):
+        """Restart the wait for an owner from now."""
         with self._lock:
-            self._held_off = self._clock.read_monotonic()
+            self._wait_began = self._clock.read_monotonic()
 
-    def _raise_epoch(self, epoch, owner):
-        """Go over to a higher epoch.
+    def _advance_epoch(self, epoch, owner):
+        """Move to a higher epoch.
 
-        A grant of the former owner lasts as long as it was given for; the
-        new owner reckons with that.
+        A grant of the former owner stays valid until it ends; the new owner
+        waits for that.
         """
         if epoch > self._epoch:
             self._epoch = epoch
--- a/packages/scheduler/portwharf/scheduler/power_loss_test.py
+++ b/packages/scheduler/portwharf/scheduler/power_loss_test.py
@@ -77,12 +77,12 @@
             zones=zones.ZoneKeeper(world.clock),
         )
         self.watcher = takeover.Watcher(env, self.guard, world.kv)
-        self.watcher._begin = world.claims.append
+        self.watcher._start_owner = world.claims.append
 
     def look(self):
         """Do what a watcher does at one of its looks."""
         if self.guard.forgetful:
-            self.watcher._learn()
+            self.watcher._load_members()
         elif self.watcher._is_our_turn():
             self.watcher._take_over()
         elif self.watcher._is_first_after_restart():
@@ -154,7 +154,7 @@
         down = world.sides[f'vm-{(seed + 1) % SIDES:02d}']
         down.begins = float('inf')
         took = world.play()
-        least = LIMITS.takeover * takeover.RESTARTED_SHARE
+        least = LIMITS.takeover * takeover.RESTARTED_WAIT_SHARE
         case.assertGreaterEqual(took, least, seed)
         case.assertLess(took, float('inf'), seed)
         # Two may act at once; the log lets one of them.
--- a/packages/scheduler/portwharf/scheduler/rosters.py
+++ b/packages/scheduler/portwharf/scheduler/rosters.py
@@ -1,33 +1,34 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Rosters: which VMs serve a service, as all have to agree on.
+"""Rosters: the VMs that serve each service, as all processes agree on.
 
-The home of a not-repeatable request is chosen by the roster in force. A
-new roster is first announced as pending: a side then acts as home only for
-ids whose home is the same by both. Once every member has acknowledged it,
-or can hold no valid grant any more, no side acts by the old one alone; the
-new one is then logged with the time, and is in force from then on.
+The home of a not-repeatable request is chosen by the roster in force. A new
+roster is first announced as pending: from then on, a side acts as home only
+for ids that have the same home in both rosters. Once every member has
+acknowledged the pending roster, or can hold no valid grant any more, no side
+acts by the old roster alone; the new one is then logged with its effective
+time and is in force.
 """
 
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.scheduler import events
 
-SEQS_OF_AN_EPOCH = 1_000_000
-_NO_MEMBER = frozenset(('unreachable', 'leaving'))
+SEQS_PER_EPOCH = 1_000_000
+_UNUSABLE_REASONS = frozenset(('unreachable', 'leaving'))
 
 
 class RosterKeeper:
-    """The rosters of one shard, under one owner."""
+    """The rosters of one shard in the epoch of one owner."""
 
     def __init__(self, state):
         self._state = state
         self._pending = None
-        self._made = 0
+        self._last_seq = 0
         self._acks = {}
 
     def note_ack(self, member, seq):
-        """Note the highest roster that a member acts by."""
+        """Record the highest roster number that a member acts by."""
         self._acks[member] = seq
 
     def make_update(self):
@@ -36,28 +37,30 @@
         return messages.RosterUpdate(pending, list(self._state.rosters))
 
     def follow(self, views, now_ms, has_lapsed):
-        """Follow where services run.
+        """Update the rosters after a change of where services run.
 
         :param views: list of ``vmview.VmView``
-        :param has_lapsed: function of a VM's name: it holds no valid grant
+        :param has_lapsed: function of a VM name that tells whether its side
+            holds no valid grant
         :returns: (event or None, whether there is news to announce)
         """
         if self._pending is not None:
-            return self._conclude(now_ms, has_lapsed)
+            return self._commit_pending(now_ms, has_lapsed)
         services = list_services(self._state, views)
         last = self._state.rosters[-1] if self._state.rosters else None
         if services == (last.services if last else []):
             return None, False
-        seq = max(last.seq if last else 0, self._made) + 1
-        # A former owner may have announced what it never put in force, and
-        # sides acknowledge by number: ours are above all of its.
-        seq = max(seq, self._state.epoch * SEQS_OF_AN_EPOCH)
-        self._made = seq
+        seq = max(last.seq if last else 0, self._last_seq) + 1
+        # Sides acknowledge a roster by its number. A former owner may have
+        # announced rosters that were never in force, so ours need higher
+        # numbers.
+        seq = max(seq, self._state.epoch * SEQS_PER_EPOCH)
+        self._last_seq = seq
         self._pending = data.Roster(seq, 0, services)
         return None, True
 
-    def _conclude(self, now_ms, has_lapsed):
-        """Put the pending roster in force, if nobody acts by the old one."""
+    def _commit_pending(self, now_ms, has_lapsed):
+        """Put the pending roster in force once no side acts by the old one."""
         seq = self._pending.seq
         for name in self._state.members:
             if self._acks.get(name, 0) < seq and not has_lapsed(name):
@@ -68,8 +71,10 @@
 
 
 def list_services(state, views):
-    """Return the services with the VMs that serve them, in order."""
-    usable = {view.vm.name for view in views if view.closed not in _NO_MEMBER}
+    """Return the services and the VMs that serve each, in a fixed order."""
+    usable = {
+        view.vm.name for view in views if view.closed not in _UNUSABLE_REASONS
+    }
     found = []
     for record in state.workloads.values():
         if record.workload.kind != data.Kind.SERVICE or record.cancelled:
--- a/packages/scheduler/portwharf/scheduler/takeover.py
+++ b/packages/scheduler/portwharf/scheduler/takeover.py
@@ -2,12 +2,12 @@
 # SPDX-License-Identifier: Apache-2.0
 """How a side becomes the owner of its shard.
 
-Every side watches for its owner's silence. The members' order is by
-rendezvous, and each next in line waits a little longer, so that one acts.
-Before it acts it asks the others whether they hear the owner: a side that
-was cut off alone does not take the shard from an owner that the rest
-follows. Acting is one append to the log with the next epoch; of two that
-act at once the store lets one through.
+Every side watches for silence of its owner. Rendezvous hashing ranks the
+members, and each following rank waits a little longer, so that one of them
+acts. Before it acts, it asks the others whether they hear the owner, so that a
+side that is cut off alone does not take the shard from an owner that the rest
+follows. To act is to append one entry with the next epoch to the log; of two
+sides that act at once, the store accepts one.
 """
 
 import concurrent.futures
@@ -31,34 +31,37 @@
 
 LOG = logging.getLogger(__name__)
 
-# Without a majority to ask, silence has to last this many times longer.
-LONELY_FACTOR = 8
+# Without an answer of a majority, silence must last this many times longer.
+ISOLATED_FACTOR = 8
 _POLL_SECONDS = 0.1
-_FOUND_SECONDS = 0.4
-# A side that has heard no owner since its start waits for one this much
-# shorter: all may have restarted, and nobody is there to wait for.
-RESTARTED_SHARE = 0.5
-_CLAIM_TRIES = 3
-_ASK_THREADS = 16
-# What a member that is asked is given to answer.
-ASK_SECONDS = 0.5
-# The first wait after a failure is this long at the most, in seconds, and
-# each next one twice as long.
-_BACK_OFF = 0.25
+_FOUND_RETRY_SECONDS = 0.4
+# Share of the usual wait for a side that has heard no owner since its start:
+# all sides may have restarted, with no owner to wait for.
+RESTARTED_WAIT_SHARE = 0.5
+_MAX_CLAIM_ATTEMPTS = 3
+_QUERY_THREADS = 16
+# Timeout of a query to one member.
+QUERY_TIMEOUT_SECONDS = 0.5
+# Each failure doubles the upper bound of the wait before the next attempt.
+_BACK_OFF_BASE_SECONDS = 0.25
 _MAX_BACK_OFF_SECONDS = 8.0
 _MS = 1000
 
 
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """A shard that was taken: its log at the end, and its state."""
+    """A shard that this process has come to own.
+
+    :param log: the log of the shard, read to its end
+    :param state: the state at that end
+    """
 
     log: shardlog.ShardLog = None
     state: 'state.ShardState' = None
 
 
 def read_state(kv, shard):
-    """Return the state that a shard's log comes to, or None."""
+    """Return the state at the end of a shard's log, or None on failure."""
     contents = shardlog.ShardLog(kv, shard).read()
     if contents.is_err():
         return None
@@ -66,14 +69,18 @@
 
 
 def read_epoch(kv, shard):
-    """Return the epoch of a shard's log: Ok(number), or Err(StoreError)."""
+    """Return the epoch at the end of a shard's log.
+
+    :returns: Ok(number), or Err(StoreError)
+    """
     contents = shardlog.ShardLog(kv, shard).read(whole=False)
     return contents.map(lambda found: state.restore_state(found).epoch)
 
 
 def found_shard(kv, shard, name, members):
-    """Begin the log of a new shard, as its first owner.
+    """Create the log of a new shard, as its first owner.
 
+    :param members: list of ``data.Vm``
     :returns: as :func:`claim_shard`
     """
     log = shardlog.ShardLog(kv, shard)
@@ -81,54 +88,56 @@
     if contents.is_err():
         return contents
     if not contents.ok_value.empty:
-        return result.Err(Rival(1))
+        return result.Err(OwnedByOther(1))
     return append_claim(log, state.ShardState(), name, members)
 
 
-def claim_shard(kv, shard, name, above=None):
-    """Try once to become a shard's owner, by one append.
+def claim_shard(kv, shard, name, max_epoch=None):
+    """Try once to become a shard's owner, by one append to its log.
 
-    Nothing but the log decides, so that this is safe at any time.
+    Safe at any time, as only the log decides who is the owner.
 
-    :param above: give up if the log shows a higher epoch than this
-    :returns: Ok(Claim), Err(StoreError), or Err(Rival) if there is one
+    :param max_epoch: give up if the log shows a higher epoch than this
+    :returns: Ok(Claim), Err(StoreError), or Err(OwnedByOther)
     """
     log = shardlog.ShardLog(kv, shard)
     contents = log.read()
     if contents.is_err():
         return contents
     restored = state.restore_state(contents.ok_value)
-    if above is not None and restored.epoch > above:
-        return result.Err(Rival(restored.epoch))
+    if max_epoch is not None and restored.epoch > max_epoch:
+        return result.Err(OwnedByOther(restored.epoch))
     return append_claim(log, restored, name, [])
 
 
 @dataclasses.dataclass(slots=True)
-class Rival:
-    """Another process owns the shard, under this epoch or a later one."""
+class OwnedByOther:
+    """Another process owns the shard, in this epoch or a later one."""
 
     epoch: int = 0
 
 
 def append_claim(log, restored, name, members):
-    """Append that a process owns the shard from now on.
+    """Append the entry that makes a process the owner of a shard.
 
-    :param members: given for a new shard only
-    :returns: Ok(Claim), Err(StoreError), or Err(Rival)
+    :param log: the log, read to its end
+    :param restored: the state at that end
+    :param members: list of ``data.Vm`` for a new shard, else empty
+    :returns: Ok(Claim), Err(StoreError), or Err(OwnedByOther)
     """
     event = events.OwnerChanged(restored.epoch + 1, name, members)
-    for _ in range(_CLAIM_TRIES):
+    for _ in range(_MAX_CLAIM_ATTEMPTS):
         answer = log.append([event])
         if answer.is_ok():
             restored.apply(event)
             return result.Ok(Claim(log, restored))
         if isinstance(answer.err_value, shardlog.Deposed):
-            return result.Err(Rival(event.epoch))
+            return result.Err(OwnedByOther(event.epoch))
     return result.Err(store.StoreError(answer.err_value.text, unknown=True))
 
 
 class Watcher:
-    """Watches the owner and takes its place; a context manager."""
+    """Watches the owner and takes over from it; a context manager."""
 
     def __init__(self, env, guard, kv):
         """Take an ``environment.Environment``, a ``Guard`` and the store."""
@@ -137,10 +146,10 @@
         self._kv = kv
         self._owner = None
         self._members = {}
-        # The owner that the log showed when it was read.
-        self._former = ''
+        # The VM of the owner that the log showed when it was read.
+        self._last_owner = ''
         self._failures = 0
-        self._next_try = 0.0
+        self._next_attempt = 0.0
         self._stop = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name='watcher', daemon=True
@@ -156,7 +165,7 @@
 
     @property
     def owner(self):
-        """The owner that runs in this process, or None."""
+        """The owner that runs in this process and is not deposed, or None."""
         role = self._owner
         if role is not None and role.deposed.is_set():
             return None
@@ -165,47 +174,49 @@
     def _run(self):
         while not self._stop.wait(_POLL_SECONDS):
             if self._owner is not None:
-                self._end_if_deposed()
-            elif self._env.clock.read_monotonic() < self._next_try:
+                self._stop_if_deposed()
+            elif self._env.clock.read_monotonic() < self._next_attempt:
                 continue
             elif self._guard.forgetful or not self._members:
-                self._learn()
+                self._load_members()
             elif self._guard.take_call():
                 self._claim()
             elif self._is_our_turn():
                 self._take_over()
             elif self._is_first_after_restart():
                 self._take_over_all_restarted()
-        self._end()
+        self._stop_owner()
 
     def _back_off(self):
-        """Leave the store alone for a while, longer each time.
+        """Delay the next attempt, longer after each failure.
 
-        All sides of all shards may be here at once after an outage, so
-        that the time is drawn at random.
+        The delay is random, as all sides of all shards may retry at the same
+        time after an outage.
         """
         self._failures += 1
-        most = min(_MAX_BACK_OFF_SECONDS, _BACK_OFF * 2.0**self._failures)
-        wait = random.uniform(0.5, 1.0) * most
-        self._next_try = self._env.clock.read_monotonic() + wait
+        max_wait = min(
+            _MAX_BACK_OFF_SECONDS, _BACK_OFF_BASE_SECONDS * 2.0**self._failures
+        )
+        wait = random.uniform(0.5, 1.0) * max_wait
+        self._next_attempt = self._env.clock.read_monotonic() + wait
 
-    def _end_if_deposed(self):
+    def _stop_if_deposed(self):
         if self._owner.deposed.is_set():
-            self._end()
-            self._guard.hold_off()
+            self._stop_owner()
+            self._guard.restart_wait()
 
-    def _end(self):
+    def _stop_owner(self):
         role = self._owner
         self._owner = None
         if role is not None:
             role.__exit__(None, None, None)
 
-    def _learn(self):
-        """Learn epoch and members from the log; a new shard has none."""
+    def _load_members(self):
+        """Read epoch and members from the log, or create the log."""
         began = self._env.clock.read_monotonic()
         log = shardlog.ShardLog(self._kv, self._env.shard)
         contents = log.read(whole=False)
-        self._note_read(contents, began)
+        self._log_read(contents, began)
         if contents.is_err():
             self._back_off()
             return
@@ -215,16 +226,16 @@
             return
         restored = state.restore_state(contents.ok_value)
         self._members = dict(restored.members)
-        self._former = restored.owner
+        self._last_owner = restored.owner
         self._guard.learn_epoch(restored.epoch)
 
-    def _note_read(self, contents, began):
-        """Log that the shard's log was read, or why not."""
+    def _log_read(self, contents, began):
+        """Write a log line about a read of the shard's log."""
         took = self._env.clock.read_monotonic() - began
         extra = logs.fields(shard=self._env.shard, took_ms=int(took * _MS))
         if contents.is_err():
             text = contents.err_value.text
-            LOG.warning('log not read: %s', text, extra=extra)
+            LOG.warning('log read failed: %s', text, extra=extra)
             return
         found = contents.ok_value
         extra |= logs.fields(
@@ -233,27 +244,31 @@
         LOG.info('log read', extra=extra)
 
     def _found_shard(self):
-        """Begin the log of a new shard, if it is our turn.
+        """Create the log of a new shard, if it is our turn.
 
-        Until then the log is read again and again, as another's beginning
-        of it is what we wait for.
+        Until then the caller keeps reading the log, which another side may
+        create.
         """
         listed = self._env.vmlist.read()
         if listed.is_err():
             return
-        ours = planning.pick_members(listed.ok_value, self._env.shard)
-        names = [vm.name for vm in ours]
+        listed_members = planning.pick_members(
+            listed.ok_value, self._env.shard
+        )
+        names = [vm.name for vm in listed_members]
         if self._env.name not in names:
             return
         order = ids.rank_by_rendezvous(str(self._env.shard), names)
         wait = order.index(self._env.name) * self._env.limits.rank_step
         if self._guard.measure_silence() < wait:
-            self._stop.wait(_FOUND_SECONDS)
+            self._stop.wait(_FOUND_RETRY_SECONDS)
             return
         self._guard.learn_epoch(0)
-        self._members = {vm.name: vm for vm in ours}
-        self._begin(
-            found_shard(self._kv, self._env.shard, self._env.name, ours)
+        self._members = {vm.name: vm for vm in listed_members}
+        self._start_owner(
+            found_shard(
+                self._kv, self._env.shard, self._env.name, listed_members
+            )
         )
 
     def _is_our_turn(self):
@@ -265,14 +280,15 @@
         limits = self._env.limits
         wait = limits.takeover + rank * limits.rank_step
         if not self._guard.has_heard:
-            # An owner that lives redials at once whoever has restarted.
-            wait *= RESTARTED_SHARE
+            # A live owner redials at once, even after all sides have
+            # restarted.
+            wait *= RESTARTED_WAIT_SHARE
         return self._guard.measure_silence() >= wait
 
     def _is_first_after_restart(self):
-        """Tell whether to ask at once whether everybody has restarted.
+        """Tell whether to ask now whether all members have restarted.
 
-        Only the first in line does, so that not all ask at the same time.
+        Only the first in line asks, so that not all sides do at the same time.
         """
         if self._guard.has_heard:
             return False
@@ -281,19 +297,19 @@
         return order[0] == self._env.name
 
     def _take_over_all_restarted(self):
-        """Take over if no member is left that could hear an owner.
+        """Take over if no other member can be hearing an owner.
 
-        After power was lost everywhere nobody is there to wait for: all
-        members answer, and none has heard an owner since its start. The
-        former owner's VM is asked first, alone: one that lives says so.
+        That is so after a power loss everywhere: all members answer, and none
+        has heard an owner since its start. The VM of the last owner is asked
+        first, alone, as a live owner ends the query.
         """
         epoch = self._guard.epoch
-        former = self._members.get(self._former)
-        if former is not None and former.name != self._env.name:
-            if not _is_unheard(self._ask(former)):
+        last_owner = self._members.get(self._last_owner)
+        if last_owner is not None and last_owner.name != self._env.name:
+            if not _has_heard_no_owner(self._query_member(last_owner)):
                 return
-        votes = self._ask_members()
-        if votes.unheard + 1 < len(self._members):
+        tally = self._query_members()
+        if tally.unheard + 1 < len(self._members):
             return
         if self._guard.epoch == epoch and not self._guard.has_heard:
             self._claim()
@@ -301,31 +317,31 @@
     def _take_over(self):
         epoch = self._guard.epoch
         silence = self._guard.measure_silence()
-        lonely = self._env.limits.takeover * LONELY_FACTOR
-        votes = self._ask_members()
+        isolated_wait = self._env.limits.takeover * ISOLATED_FACTOR
+        tally = self._query_members()
         needed = len(self._members) // 2 + 1
-        alone = votes.hears == 0 and silence >= lonely
-        if votes.silent + 1 < needed and not alone:
+        isolated = tally.hearing == 0 and silence >= isolated_wait
+        if tally.not_hearing + 1 < needed and not isolated:
             return
         if self._guard.epoch != epoch or not self._is_our_turn():
-            # Asking took a while, and an owner was heard meanwhile.
+            # An owner may have been heard while the members were queried.
             return
         self._claim()
 
     def _claim(self):
-        self._begin(
+        self._start_owner(
             claim_shard(
                 self._kv, self._env.shard, self._env.name, self._guard.epoch
             )
         )
 
-    def _begin(self, claimed):
-        """Act as the owner if a claim went through, else wait for who is."""
+    def _start_owner(self, claimed):
+        """Start the owner role if a claim succeeded, else wait."""
         if claimed.is_err():
-            if isinstance(claimed.err_value, Rival):
-                # Somebody else was faster; it will dial us.
+            if isinstance(claimed.err_value, OwnedByOther):
+                # Another side took over first and will dial this one.
                 self._guard.learn_epoch(claimed.err_value.epoch)
-                self._guard.hold_off()
+                self._guard.restart_wait()
             else:
                 self._back_off()
             return
@@ -333,28 +349,28 @@
         claim = claimed.ok_value
         self._members = dict(claim.state.members)
         extra = logs.fields(shard=self._env.shard, epoch=claim.state.epoch)
-        LOG.info('took over', extra=extra)
+        LOG.info('took over shard', extra=extra)
         role = owner.Owner(self._env, claim.log, claim.state)
         role.__enter__()
         self._owner = role
 
-    def _ask_members(self):
+    def _query_members(self):
         """Ask the other members whether they hear the owner."""
         others = [
             vm for vm in self._members.values() if vm.name != self._env.name
         ]
-        votes = _Votes()
-        with concurrent.futures.ThreadPoolExecutor(_ASK_THREADS) as pool:
-            for answer in pool.map(self._ask, others):
-                votes.count(answer)
-        return votes
-
-    def _ask(self, vm):
-        """Return one member's answer, or None."""
+        tally = _QueryTally()
+        with concurrent.futures.ThreadPoolExecutor(_QUERY_THREADS) as pool:
+            for answer in pool.map(self._query_member, others):
+                tally.count(answer)
+        return tally
+
+    def _query_member(self, vm):
+        """Return one member's answer, or None if it gave none."""
         try:
             with self._env.dial(vm) as conn:
-                streams.greet(conn, self._make_hello(), ASK_SECONDS)
-                conn.set_idle(ASK_SECONDS)
+                streams.greet(conn, self._make_hello(), QUERY_TIMEOUT_SECONDS)
+                conn.set_idle(QUERY_TIMEOUT_SECONDS)
                 conn.send(messages.OwnerQuery(self._guard.epoch))
                 return conn.receive()
         except streams.PeerError:
@@ -370,29 +386,29 @@
         )
 
 
-def _is_unheard(answer):
+def _has_heard_no_owner(answer):
     """Tell whether a member says that it has heard no owner."""
     return isinstance(answer, messages.OwnerAnswer) and answer.unheard
 
 
-class _Votes:
-    """Answers of the other members."""
+class _QueryTally:
+    """Counts the other members by whether they hear the owner."""
 
     def __init__(self):
-        self.hears = 0
-        self.silent = 0
-        # Of the silent, those that have heard no owner since their start.
+        self.hearing = 0
+        self.not_hearing = 0
+        # Those of ``not_hearing`` that have heard no owner since they started.
         self.unheard = 0
 
     def count(self, answer):
-        """Count an answer; a dead member says nothing.
+        """Count an answer; a missing answer counts for neither side.
 
-        One that has restarted does not hear the owner either.
+        A member that has restarted does not hear the owner.
         """
         if not isinstance(answer, messages.OwnerAnswer):
             return
         if answer.hears:
-            self.hears += 1
+            self.hearing += 1
         else:
-            self.silent += 1
+            self.not_hearing += 1
             self.unheard += answer.unheard
--- a/packages/scheduler/portwharf/scheduler/takeover_test.py
+++ b/packages/scheduler/portwharf/scheduler/takeover_test.py
@@ -74,8 +74,8 @@
         )
         self.watcher = takeover.Watcher(env, self.guard, self.kv)
         self.claims = []
-        self.watcher._begin = self.claims.append
-        self.watcher._learn()
+        self.watcher._start_owner = self.claims.append
+        self.watcher._load_members()
         self.guard.accept_owner(1, 'vm-00')
 
     def dial(self, vm):
@@ -142,7 +142,7 @@
 def test_minority_waits_much_longer(case):
     bench = Bench({})
     case.assertFalse(bench.look(LIMITS.takeover + 0.1))
-    lonely = LIMITS.takeover * takeover.LONELY_FACTOR
+    lonely = LIMITS.takeover * takeover.ISOLATED_FACTOR
     case.assertTrue(bench.look(lonely))
 
 
@@ -153,7 +153,7 @@
     bench = Bench(answers)
     case.assertTrue(bench.look(LIMITS.takeover + 0.1))
     for conn in bench.conns:
-        case.assertEqual(max(conn.idle[-1:]), takeover.ASK_SECONDS)
+        case.assertEqual(max(conn.idle[-1:]), takeover.QUERY_TIMEOUT_SECONDS)
 
 
 def test_owner_that_is_heard_while_asking_is_followed(case):
@@ -178,7 +178,7 @@
         self.guard = guard.Guard(self.clock, LIMITS)
         self.watcher._guard = self.guard
         self.watcher._env.name = first
-        self.watcher._learn()
+        self.watcher._load_members()
 
     def look_at_once(self):
         """Look before any silence could be too long."""
