--- a/packages/scheduler/portwharf/scheduler/configuration.py
+++ b/packages/scheduler/portwharf/scheduler/configuration.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The operators' configuration: what it says, and which one is in force.
+"""The configuration that operators set, and the one that is in force.
 
-It is one TOML text under one key of the store; its revision is the store's
-revision of that key's last change, so that it only grows. A change is a
-compare-and-swap against the revision that it was made from. Every process
-keeps the highest revision that it has seen, through outages of the store
-too, and takes no lower one.
+It is one TOML text under one key of the store. Its revision is the store
+revision of the last change of that key, so it only grows. A change is a
+compare-and-swap against the revision that it was based on. Every process keeps
+the highest revision that it has seen, also through outages of the store, and
+accepts no lower one.
 """
 
 import dataclasses
@@ -26,12 +26,12 @@
 
 KEY = 'config/current'
 MAX_TEXT_BYTES = 512 * 1024
-# A watch that has gone silent is noticed after this.
+# Timeout of a watch, after which the key is read again.
 _WATCH_SECONDS = 5.0
-# After a failure, with a jitter of half of it.
+# First wait after a failure, with a jitter of half of it.
 RETRY_SECONDS = 0.3
-# Only owners and entries watch, so that this many more calls a second are
-# few; an entry that is back has to follow within a second or two.
+# Kept short, as an entry has to follow soon after an outage; only owners and
+# entries watch, so the store sees few retries.
 _MAX_RETRY_SECONDS = 1.0
 _MAX_AMOUNT = 10**9
 
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Weights:
-    """How much each of the three measures counts."""
+    """The weights of the three measures that decisions trade off."""
 
     tail_latency: float = 5.0
     batch_throughput: float = 2.0
@@ -79,7 +79,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Target:
-    """What a service promises: this share answered within this time."""
+    """The objective of a service: a share of requests and a latency.
+
+    :param ms: the latency, in milliseconds
+    :param ratio: the share of requests answered within it
+    """
 
     ms: int = 0
     ratio: float = 0.0
@@ -87,15 +91,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Queue:
-    """Where jobs of one kind come in, and how they are treated.
+    """Where jobs of one kind are submitted, and how they are treated.
 
-    :param host: the host that they are sent to
-    :param prefix: what their path begins with
+    :param host: the host name that jobs are sent to
+    :param prefix: the prefix of their request path
     :param pool: the pool of workers that runs them
-    :param rank: 0 goes first
-    :param max_failures: attempts of a task that may fail
-    :param stretch: a job's objective is this many times its chain of work
-    :param allowance_ms: and so much more
+    :param rank: priority; 0 goes first
+    :param max_failures: how many attempts of a task may fail
+    :param stretch: a job's objective is the duration of its longest chain of
+        steps, times this
+    :param allowance_ms: added to that objective
     :param ticket_ms: how long a ticket of its policy is valid; 0: no policy
     """
 
@@ -114,8 +119,8 @@
 class Configuration:
     """One accepted configuration.
 
-    :param quotas: team to Resources
-    :param targets: "team/name" of a service to Target
+    :param quotas: map of team to ``data.Resources``
+    :param targets: map of a service's "team/name" to :class:`Target`
     :param queues: list of :class:`Queue`
     """
 
@@ -128,7 +133,7 @@
 
 
 def parse_configuration(text, revision=0):
-    """Read and check a configuration's text.
+    """Parse and validate the text of a configuration.
 
     :returns: Ok(Configuration), or Err(list of Problems)
     """
@@ -163,23 +168,23 @@
 
 
 def check_quotas(cfg, reserved):
-    """Return the problems of quotas below what teams have reserved now.
+    """Return a problem for each quota below what its team has reserved.
 
     :param cfg: a :class:`Configuration`
-    :param reserved: map of team to Resources, over all shards
+    :param reserved: map of team to ``data.Resources``, over all shards
     """
     problems = []
     for team, quota in cfg.quotas.items():
         used = reserved.get(team, data.Resources())
         for axis in ('cpu_milli', 'memory_mb', 'accelerators'):
-            least, given = getattr(used, axis), getattr(quota, axis)
-            if given < least:
+            held, allowed = getattr(used, axis), getattr(quota, axis)
+            if allowed < held:
                 problems.append(
                     data.Problem(
                         'quota-below-reserved',
                         f'teams.{team}.quota.{axis}',
-                        str(given),
-                        f'is below the {least} that the team has reserved',
+                        str(allowed),
+                        f'is below the {held} that the team has reserved',
                         'raise it, or cancel or shrink its workloads first',
                     )
                 )
@@ -190,22 +195,23 @@
     """The configuration in force in this process."""
 
     def __init__(self, parse=parse_configuration):
-        """Take a function of text and revision that reads and checks.
+        """Start with an empty configuration.
 
-        :param parse: gives Ok(Configuration) or Err(list of Problems)
+        :param parse: function of text and revision that returns
+            Ok(Configuration) or Err(list of Problems)
         """
         self._parse = parse
         self._lock = threading.Lock()
         self._current = Configuration()
-        self._followers = []
+        self._listeners = []
 
     def read(self):
         """Return the :class:`Configuration` in force."""
         return self._current
 
     def follow(self, call):
-        """Have a function called, without arguments, after a change."""
-        self._followers.append(call)
+        """Register a function without arguments, called after each change."""
+        self._listeners.append(call)
 
     def make_update(self):
         """Return the configuration in force as a message."""
@@ -213,34 +219,34 @@
         return messages.ConfigUpdate(current.revision, current.text)
 
     def offer(self, revision, text):
-        """Put a configuration in force if it is newer.
+        """Put a configuration in force if it is newer and valid.
 
-        :returns: whether it was taken
+        :returns: whether it is now in force
         """
         if revision <= self._current.revision:
             return False
         parsed = self._parse(text, revision)
         if parsed.is_err():
-            # Written past our check, or by a newer version of us. What is
-            # in force stays; ``config status`` shows that it does.
+            # The text was written without validation or by a newer version.
+            # The current one stays in force, which ``config status`` shows.
             for problem in parsed.err_value:
-                LOG.error('configuration: %s', problem.describe())
+                LOG.error('configuration rejected: %s', problem.describe())
             return False
         with self._lock:
             if revision <= self._current.revision:
                 return False
             self._current = parsed.ok_value
         LOG.info('configuration %d in force', revision)
-        for call in self._followers:
+        for call in self._listeners:
             call()
         return True
 
 
 class ConfigWatcher:
-    """Keeps a keeper up to date from the store; a context manager.
+    """Keeps a :class:`ConfigKeeper` up to date; a context manager.
 
-    One waiting watch at a time; after a failure it reads again, with a
-    jitter so that not all processes come at once after an outage.
+    Waits on one watch at a time. After a failure it reads again with a jitter,
+    so that not all processes call at once after an outage.
     """
 
     def __init__(self, kv, keeper, key=KEY):
@@ -257,7 +263,7 @@
         return self
 
     def __exit__(self, *exc_info):
-        # The thread may sit in a watch; it ends with the process.
+        # Not joined: the daemon thread may be blocked in a watch.
         self._stop.set()
 
     def _run(self):
@@ -270,7 +276,7 @@
             wait = min(2 * wait, _MAX_RETRY_SECONDS)
 
     def _follow(self):
-        """Read once, then wait for changes until something fails.
+        """Read once, then watch for changes until a call fails.
 
         :returns: whether the store answered
         """
@@ -281,7 +287,7 @@
                 self._offer(entry)
             revision = entry.revision if entry else 0
             if revision == 0:
-                # Nothing to watch from: look again shortly.
+                # A watch needs a revision to start from; read again shortly.
                 self._stop.wait(RETRY_SECONDS)
                 return True
             found = self._kv.wait_for_change(
@@ -296,8 +302,9 @@
 
 
 def propose_configuration(kv, base_revision, text):
-    """Make a configuration the accepted one, as a whole.
+    """Replace the configuration by compare-and-swap.
 
+    :param base_revision: the revision that the change was based on
     :returns: Ok(revision), or Err(list of Problems)
     """
     parsed = parse_configuration(text)
@@ -307,14 +314,14 @@
     answer = kv.swap(KEY, raw, base_revision)
     if answer.is_ok() and answer.ok_value.done:
         return result.Ok(answer.ok_value.revision)
-    return _settle_proposal(kv, base_revision, raw, answer)
+    return _resolve_proposal(kv, base_revision, raw, answer)
 
 
-def _settle_proposal(kv, base_revision, raw, answer):
-    """Find out what became of a proposal that was not confirmed.
+def _resolve_proposal(kv, base_revision, raw, answer):
+    """Find out the outcome of a proposal that was not confirmed.
 
-    The same text at a higher revision than the base counts as ours: if
-    somebody else wrote just that, what was asked for is in force too.
+    The same text at a higher revision than the base counts as success, even if
+    another operator wrote it.
     """
     found = kv.read(KEY)
     if found.is_err():
@@ -325,7 +332,7 @@
     if entry and revision > base_revision and entry.value == raw:
         return result.Ok(revision)
     if answer.is_err() and revision == base_revision:
-        # Not there yet, but a lost call may still arrive.
+        # Not written yet, but the lost call may still arrive.
         return result.Err([_describe_outage(answer.err_value.unknown)])
     return result.Err([_describe_conflict(base_revision, raw, entry)])
 
--- a/packages/scheduler/portwharf/scheduler/environment.py
+++ b/packages/scheduler/portwharf/scheduler/environment.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What an owner is put together with, the same for each of its epochs."""
+"""What an owner depends on, the same in all its epochs."""
 
 import dataclasses
 
@@ -10,16 +10,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Environment:
-    """What an owner works with.
+    """The dependencies of an owner.
 
     :param name: the VM that the owner runs on
-    :param dial: function of a ``data.Vm`` giving a connection
-    :param keeper: the configuration in force (``ConfigKeeper``)
+    :param instance: the id of the process that it runs in
+    :param clock: a ``clock.Clock``
+    :param limits: the ``limits.Limits``
+    :param dial: function of a ``data.Vm`` that returns a connection
+    :param vmlist: the platform's list of VMs
+    :param keeper: the ``configuration.ConfigKeeper`` of this process
     :param append_interval: least seconds between two appends
-    :param make_link: gives the link to a member, by its VM and the owner
-    :param kv: the store, for the configuration
-    :param config_key: the key that the configuration is under
-    :param policy: a ``policy.Policy`` that governs queues, or None
+    :param make_link: function of a ``data.Vm`` and the owner that returns the
+        link to a member
+    :param kv: the store, for the configuration and the closed zones
+    :param config_key: the store key of the configuration
+    :param policy: the ``policy.Policy`` that governs queues, or None
     :param zones: the ``zones.ZoneKeeper`` of this process
     """
 
--- a/packages/scheduler/portwharf/scheduler/events.py
+++ b/packages/scheduler/portwharf/scheduler/events.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a shard's log says: one class for each kind of event.
+"""The events in a shard's log, one class for each kind.
 
-An event carries all that :mod:`portwharf.scheduler.state` needs to apply
-it, so that any process that reads the log comes to the same state. Kinds
-and fields that a reader does not know are skipped; an event whose meaning
-changes gets a new kind.
+An event carries all that :mod:`portwharf.scheduler.state` needs to apply it,
+so that every process that reads the log restores the same state. Readers skip
+kinds and fields that they do not know; an event whose meaning changes gets a
+new kind.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Count:
-    """A number under a name, as in workers refused by a reason."""
+    """A named number, such as the workers refused for one reason."""
 
     name: str = ''
     number: int = 0
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Part:
-    """One addend of a score."""
+    """One term of a score."""
 
     name: str = ''
     value: float = 0.0
@@ -32,9 +32,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Decision:
-    """One choice of the scheduler, kept for ``explain``.
+    """One decision of the scheduler, kept for ``explain``.
 
-    Fields as in the schema's ``Decision``.
+    The fields are those of ``Decision`` in the schema.
     """
 
     unix_ms: int = 0
@@ -49,10 +49,10 @@
 
 @dataclasses.dataclass(slots=True)
 class OwnerChanged:
-    """A process has become the shard's owner.
+    """A process became the owner of the shard.
 
-    :param members: the VMs whose majority confirms owners; given by the
-        first entry of a log only
+    :param members: the VMs whose majority confirms owners; set in the first
+        entry of a log only
     """
 
     epoch: int = 0
@@ -69,14 +69,14 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberRemoved:
-    """A VM left the shard for good."""
+    """A VM was removed from the shard."""
 
     vm: str = ''
 
 
 @dataclasses.dataclass(slots=True)
 class WorkloadAccepted:
-    """An operator's workload is ours to run from now on."""
+    """A workload of an operator was accepted."""
 
     id: str = ''
     key: str = ''
@@ -86,7 +86,7 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkloadChanged:
-    """An operator changed how many tasks run and how much they matter."""
+    """An operator changed the task count or importance of a workload."""
 
     id: str = ''
     count: int = 0
@@ -95,7 +95,7 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkloadCancelled:
-    """An operator wants no more of a workload.
+    """An operator cancelled a workload.
 
     Its waiting tasks end here; placed ones are stopped and end later.
     """
@@ -105,7 +105,7 @@
 
 @dataclasses.dataclass(slots=True)
 class JobAccepted:
-    """A job is ours to run from now on."""
+    """A job was accepted."""
 
     unix_ms: int = 0
     job: data.Job = dataclasses.field(default_factory=data.Job)
@@ -113,28 +113,31 @@
 
 @dataclasses.dataclass(slots=True)
 class JobCancelled:
-    """Nobody wants a job any more, or one of its tasks has failed."""
+    """A job was cancelled, or one of its tasks has failed."""
 
     id: str = ''
 
 
 @dataclasses.dataclass(slots=True)
 class JobDropped:
-    """An ended job is too old to be kept."""
+    """The record of an ended job was dropped after its retention."""
 
     id: str = ''
 
 
 @dataclasses.dataclass(slots=True)
 class WorkloadDropped:
-    """An ended workload is too old to be kept."""
+    """The record of an ended workload was dropped after its retention."""
 
     id: str = ''
 
 
 @dataclasses.dataclass(slots=True)
 class TaskPlaced:
-    """An attempt of a task belongs to a VM, which is told after this."""
+    """An attempt of a task was placed on a VM.
+
+    The VM is told only once this is in the log.
+    """
 
     task: str = ''
     attempt: int = 0
@@ -143,10 +146,10 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskPrepared:
-    """An attempt belongs to a VM that has no room for it yet.
+    """An attempt was assigned to a VM whose resources are still in use.
 
-    It is begun by a later :class:`TaskPlaced`; or, while the store does
-    not answer, without one, when a task on that VM has made room.
+    A later :class:`TaskPlaced` starts it. While the store does not answer, it
+    is started without that event once a task on the VM has ended.
     """
 
     task: str = ''
@@ -156,10 +159,9 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskSaved:
-    """A running attempt has saved its work.
+    """A running attempt has saved a checkpoint.
 
-    :param checkpoint: where the next attempt starts, should this one be
-        lost with its VM
+    :param checkpoint: where the next attempt starts if the VM is lost
     """
 
     task: str = ''
@@ -169,7 +171,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskEvicting:
-    """An attempt is to be stopped and its task to be queued again."""
+    """An attempt is to be stopped and its task requeued."""
 
     task: str = ''
     attempt: int = 0
@@ -177,15 +179,14 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskRequeued:
-    """An attempt is over without an ending: the task waits again.
-
-    :param evicted: it was stopped on our request
-    :param checkpoint: where the next attempt starts; '' for the last one
-        that was known
-    :param failed: it ended by a failure, which counts against the task
-    :param crash: which crash of a worker ended it, or ''
-    :param ran_ms: how long after its start that was, in ms; -1 if it is not
-        known
+    """An attempt is over but its task is not: the task waits again.
+
+    :param evicted: the attempt was stopped at the request of the owner
+    :param checkpoint: where the next attempt starts; '' for the last known
+        checkpoint
+    :param failed: the attempt failed, which counts against the task
+    :param crash: the name of the worker crash that ended it, or ''
+    :param ran_ms: the time from its start to that crash; -1 if unknown
     """
 
     task: str = ''
@@ -199,17 +200,17 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskCleared:
-    """A task under suspicion has kept at work: it crashes no worker."""
+    """A suspected task ran long enough to be held harmless."""
 
     task: str = ''
 
 
 @dataclasses.dataclass(slots=True)
 class TaskEnded:
-    """A task is over.
+    """A task has ended.
 
     :param state: one of ``data.ENDED_STATES``
-    :param crasher: it is given up, as it crashes the workers that start it
+    :param crasher: it was given up because it crashes the workers that run it
     """
 
     task: str = ''
@@ -221,14 +222,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RosterChanged:
-    """A roster is in force from its effective time on."""
+    """A roster is in force from its effective time."""
 
     roster: data.Roster = dataclasses.field(default_factory=data.Roster)
 
 
 @dataclasses.dataclass(slots=True)
 class DecisionMade:
-    """A choice worth remembering that changes nothing by itself."""
+    """A decision was recorded, without an effect on the state of tasks."""
 
     decision: Decision = dataclasses.field(default_factory=Decision)
 
@@ -265,7 +266,7 @@
 def read_events(rows):
     """Return the events of rows, without those of unknown kinds.
 
-    :raises ValueError: the rows are not events
+    :raises ValueError: a row is not a kind with its fields
     """
     try:
         return [
@@ -274,4 +275,6 @@
             if kind in KINDS
         ]
     except TypeError as exc:
-        raise ValueError(f'not an event: {exc}') from exc
+        raise ValueError(
+            f'a row is not a kind with its fields: {exc}'
+        ) from exc
--- a/packages/scheduler/portwharf/scheduler/zones.py
+++ b/packages/scheduler/portwharf/scheduler/zones.py
@@ -2,13 +2,13 @@
 # SPDX-License-Identifier: Apache-2.0
 """Availability zones that an operator has closed to new starts.
 
-Each has a key of its own in the store while it is closed, whatever its value.
-Nothing begins there meanwhile; what runs goes on. It is checked twice: an
-owner places nothing there, and a side begins nothing, so that a start which
-was decided before, and sent, repeated or delayed after, is refused.
+A zone is closed while the store has a key for it; the value of the key does
+not matter. No task begins in a closed zone, but running tasks go on. Both ends
+check this: an owner places nothing there, and a side begins nothing there, so
+that a start which was decided earlier, or was repeated or delayed, is refused.
 
-What was read is worth as much as the store's revision that it was read at:
-of two readings the later one holds, whoever made it.
+A reading is valid as of the store revision that it was made at. Of two
+readings the one with the higher revision wins, whichever process made it.
 """
 
 import dataclasses
@@ -23,67 +23,66 @@
 LOG = logging.getLogger(__name__)
 
 PREFIX = 'zones/closed/'
-# An owner's own reading is this old at the most when it places something, in
-# seconds: half of the shortest time that operators are promised (5 s), so that
-# as much is left for the log, the order and its answer.
+# Largest age, in seconds, of the reading that an owner places tasks by. Half
+# of the 5 s that operators are promised, so that as much is left for the log,
+# the command and its answer.
 MAX_AGE_SECONDS = 2.5
-# Sides hear of changes by their owner too; one of 62 sides that watches for
-# this long costs the store a call in ten seconds.
+# Watch timeout. Sides also learn of changes from their owner, so the watches
+# need not be short.
 WATCH_SECONDS = 10.0
 RETRY_SECONDS = 0.3
 _MAX_RETRY_SECONDS = 1.0
-# Names that are kept of what somebody writes there, and their length: a key of
-# the store has 200 bytes at the most.
+# Limits on the names that are kept, as anybody may write keys there.
 MAX_ZONES = 1000
 MAX_NAME = 200
 
 
 @dataclasses.dataclass(slots=True)
 class Reading:
-    """Which zones were closed at a revision of the store."""
+    """The closed zones at one revision of the store."""
 
     revision: int = 0
     names: frozenset = frozenset()
 
 
 class ZoneKeeper:
-    """What this process knows of closed zones."""
+    """The closed zones that this process knows of."""
 
     def __init__(self, clock, prefix=PREFIX):
-        """Take a clock, for the age of what was read."""
+        """Take the clock that the age of readings is measured on."""
         self._clock = clock
         self._prefix = prefix
         self._lock = threading.Lock()
         self._current = Reading()
-        self._looked_at = None
-        self._followers = []
+        self._last_read_at = None
+        self._listeners = []
 
     def read(self):
-        """Return the :class:`Reading` that holds."""
+        """Return the :class:`Reading` with the highest revision."""
         return self._current
 
     def is_closed(self, zone):
-        """Tell whether nothing may begin in a zone."""
+        """Tell whether no task may begin in a zone."""
         return zone in self._current.names
 
     def is_known_since(self, since):
-        """Tell whether this process has read the keys itself since a time.
+        """Tell whether this process has read the keys since a given time.
 
-        :param since: in seconds, on its clock
+        :param since: in seconds, on the clock of this process
         """
-        return self._looked_at is not None and self._looked_at >= since
+        return self._last_read_at is not None and self._last_read_at >= since
 
     def follow(self, call):
-        """Have a function called, without arguments, after a change."""
-        self._followers.append(call)
+        """Register a function without arguments, called after each change."""
+        self._listeners.append(call)
 
     def make_update(self):
-        """Return what holds as a message."""
+        """Return the closed zones as a message."""
         current = self._current
         return messages.ClosedZones(current.revision, sorted(current.names))
 
     def offer(self, revision, names):
-        """Take a reading, unless a later one is known."""
+        """Take a reading unless one of a higher revision is known."""
         names = frozenset(name[:MAX_NAME] for name in names[:MAX_ZONES])
         with self._lock:
             if revision <= self._current.revision:
@@ -95,49 +94,54 @@
         extra = logs.fields(zones=sorted(names), revision=revision)
         LOG.info('closed availability zones', extra=extra)
         metrics.CLOSED_ZONES.set(len(names))
-        for call in self._followers:
+        for call in self._listeners:
             call()
 
     def look(self, kv):
-        """Read the keys.
+        """Read the keys from the store.
 
         :returns: whether the store answered
         """
-        asked = self._clock.read_monotonic()
+        requested_at = self._clock.read_monotonic()
         found = kv.list_names(self._prefix)
         if found.is_err():
             return False
         names = [key[len(self._prefix) :] for key in found.ok_value.keys]
         self.offer(found.ok_value.revision, names)
-        self._note_looked(asked)
+        self._record_read_time(requested_at)
         return True
 
     def wait(self, kv):
-        """Wait until the keys change, or for as long as a watch waits.
+        """Wait until the keys change or the watch times out.
 
         :returns: whether the store answered
         """
-        asked = self._clock.read_monotonic()
+        requested_at = self._clock.read_monotonic()
         known = self._current
         found = kv.wait_for_names(self._prefix, known.revision, WATCH_SECONDS)
         if found.is_err():
             return False
         if not found.ok_value.revision:
             return self.look(kv)
-        self._note_unchanged(known, found.ok_value.revision, asked)
+        self._record_unchanged(known, found.ok_value.revision, requested_at)
         return True
 
-    def _note_unchanged(self, known, revision, asked):
-        """Note that a reading still holds at a later revision."""
+    def _record_unchanged(self, known, revision, requested_at):
+        """Record that a reading still holds at a higher revision."""
         with self._lock:
             if self._current is known and revision > known.revision:
                 self._current = Reading(revision, known.names)
-        self._note_looked(asked)
+        self._record_read_time(requested_at)
 
-    def _note_looked(self, asked):
-        """Note when a reading was asked for; a watch may answer long after."""
+    def _record_read_time(self, requested_at):
+        """Record when a reading was requested.
+
+        The answer of a watch may come much later.
+        """
         with self._lock:
-            self._looked_at = max(asked, self._looked_at or asked)
+            self._last_read_at = max(
+                requested_at, self._last_read_at or requested_at
+            )
 
 
 class ZoneWatcher:
@@ -156,7 +160,7 @@
         return self
 
     def __exit__(self, *exc_info):
-        # The thread may sit in a watch; it ends with the process.
+        # Not joined: the daemon thread may be blocked in a watch.
         self._stop.set()
 
     def _run(self):
@@ -168,7 +172,7 @@
             wait = min(2 * wait, _MAX_RETRY_SECONDS)
 
     def _follow(self):
-        """Look once, then wait for changes until something fails.
+        """Read once, then watch for changes until a call fails.
 
         :returns: whether the store answered
         """
