--- a/packages/scheduler/portwharf/scheduler/configuration_test.py
+++ b/packages/scheduler/portwharf/scheduler/configuration_test.py
@@ -1,30 +1,30 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""One configuration at a time, never an older one, never half of one."""
+"""Proposals, validation and updates of the configuration."""
 
 from portwharf.core import data
 from portwharf.scheduler import configuration
 from portwharf.testing import fixtures
 
 TEXT = '[weights]\nevictions = 3.0\n'
-OTHER = '[weights]\nevictions = 4.0\n'
+OTHER_TEXT = '[weights]\nevictions = 4.0\n'
 
 
 def propose(kv, base, text=TEXT):
-    """Propose a text; returns the outcome."""
+    """Propose a text and return the outcome."""
     return configuration.propose_configuration(kv, base, text)
 
 
 def get_code(outcome):
-    """Return the code of a refusal."""
+    """Return the code of the first problem."""
     return outcome.err_value[0].code
 
 
 def test_text_is_read_with_defaults(case):
     text = TEXT + '[teams.lens]\nquota = {cpu_milli = 5, memory_mb = 6}\n'
-    read = configuration.parse_configuration(text).ok_value
-    case.assertEqual(read.weights, configuration.Weights(5.0, 2.0, 3.0))
-    case.assertEqual(read.quotas['lens'].memory_mb, 6)
+    cfg = configuration.parse_configuration(text).ok_value
+    case.assertEqual(cfg.weights, configuration.Weights(5.0, 2.0, 3.0))
+    case.assertEqual(cfg.quotas['lens'].memory_mb, 6)
 
 
 def test_wrong_text_is_refused_as_a_whole(case):
@@ -38,17 +38,17 @@
     case.assertEqual(standin.list_keys(), [])
 
 
-def test_loser_of_a_race_hears_of_the_conflict(case):
+def test_concurrent_change_is_a_conflict(case):
     kv, _ = fixtures.make_store()
     first = propose(kv, 0).ok_value
-    case.assertGreater(propose(kv, first, OTHER).ok_value, first)
+    case.assertGreater(propose(kv, first, OTHER_TEXT).ok_value, first)
     outcome = propose(kv, first, TEXT)
     case.assertEqual(get_code(outcome), 'conflict')
 
 
 def test_conflict_shows_the_difference(case):
     kv, _ = fixtures.make_store()
-    propose(kv, 0, OTHER)
+    propose(kv, 0, OTHER_TEXT)
     text = propose(kv, 0, TEXT).err_value[0].text
     case.assertIn('-evictions = 4.0', text)
     case.assertIn('+evictions = 3.0', text)
@@ -60,7 +60,7 @@
     case.assertTrue(propose(kv, 0).is_ok())
 
 
-def test_lost_request_is_unknown(case):
+def test_outcome_of_a_lost_request_is_unknown(case):
     kv, standin = fixtures.make_store()
     standin.faults.lose_requests = 1
     case.assertEqual(get_code(propose(kv, 0)), 'outcome-unknown')
@@ -87,22 +87,22 @@
 def test_keeper_takes_only_higher_revisions(case):
     keeper = configuration.ConfigKeeper()
     case.assertTrue(keeper.offer(5, TEXT))
-    case.assertFalse(keeper.offer(5, OTHER))
-    case.assertFalse(keeper.offer(4, OTHER))
+    case.assertFalse(keeper.offer(5, OTHER_TEXT))
+    case.assertFalse(keeper.offer(4, OTHER_TEXT))
     case.assertEqual(keeper.read().text, TEXT)
 
 
-def test_keeper_keeps_what_is_in_force_when_the_next_is_wrong(case):
+def test_invalid_update_is_not_put_in_force(case):
     keeper = configuration.ConfigKeeper()
     keeper.offer(5, TEXT)
     case.assertFalse(keeper.offer(6, '[weights]\nevictions = -1\n'))
     case.assertEqual(keeper.read().revision, 5)
 
 
-def test_followers_hear_of_a_change_once(case):
+def test_listeners_are_called_once_for_a_change(case):
     keeper = configuration.ConfigKeeper()
-    heard = []
-    keeper.follow(lambda: heard.append(keeper.read().revision))
+    revisions = []
+    keeper.follow(lambda: revisions.append(keeper.read().revision))
     keeper.offer(5, TEXT)
-    keeper.offer(4, OTHER)
-    case.assertEqual(heard, [5])
+    keeper.offer(4, OTHER_TEXT)
+    case.assertEqual(revisions, [5])
--- a/packages/scheduler/portwharf/scheduler/waiting_test.py
+++ b/packages/scheduler/portwharf/scheduler/delayed_command_test.py
@@ -2,19 +2,19 @@
 # SPDX-License-Identifier: Apache-2.0
 """Commands that wait in a side while its agent waits for the worker.
 
-Signs of life keep the owner's connection open meanwhile, so that nothing
-drops what waits; and the grant that answers the first heartbeat after it
-overtakes them, as only commands wait for the agent's thread.
+Heartbeats keep the connection of the owner open meanwhile, so the waiting
+commands are not dropped. The grant that answers the next heartbeat overtakes
+them, as only commands wait for the thread of the agent.
 """
 
 from portwharf.core import data
 from portwharf.scheduler import ownership_test
 
 
-def hold_up(node):
-    """Have a node's agent wait for its worker.
+def block_agent(node):
+    """Stop a node's agent as if it waited for its worker.
 
-    :returns: a function that lets it go on, one command a round
+    :returns: a function that lets it go on, at one command a round
     """
     agent = node.server.agent
     step = agent.step
@@ -25,21 +25,21 @@
         if next(calls) % 4 == 0:
             step(timeout)
 
-    def let_go():
+    def unblock():
         agent.step = step_slowly
 
-    return let_go
+    return unblock
 
 
-def test_start_that_waited_does_not_begin_once_the_task_runs_elsewhere(case):
-    """The cluster finds the task on two workers if it does."""
+def test_delayed_start_is_dropped_once_the_task_runs_elsewhere(case):
+    """Otherwise the cluster finds the task on two workers."""
     made = ownership_test.make_cluster(count=0)
     node = made.nodes[2]
-    let_go = hold_up(node)
+    unblock = block_agent(node)
     made.submit(count=9, resources=data.Resources(400, 400))
-    made.run(ownership_test.LONG)
+    made.run(ownership_test.LONG_WAIT_SECONDS)
     places = [len(ownership_test.list_running(one)) for one in made.nodes]
     case.assertEqual(sum(places), 9)
-    let_go()
+    unblock()
     made.run(2)
     case.assertEqual(ownership_test.list_running(node), [])
--- a/packages/scheduler/portwharf/scheduler/faults_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_test.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The checks can fail: each deliberate fault is caught by a named test.
+"""Deliberate faults: each one must make a named test fail.
 
-A fault replaces one rule of the real code by its absence; the test that is
-meant for the rule must then fail. A fault that nothing catches would mean
-that the rule is not needed or not tested.
+A fault disables one rule of the real code; the test of that rule must then
+fail. A fault that no test notices means that the rule is not needed or not
+tested.
 """
 
 import contextlib
@@ -59,14 +59,14 @@
     )
 
 
-def test_former_owner_not_turned_away(case):
+def test_former_owner_not_rejected(case):
     def accept(self, epoch, name):
         self._owner = name
         return True
 
     check(
         case,
-        grants_test.test_former_owner_is_turned_away,
+        grants_test.test_former_owner_is_rejected,
         guard.Guard,
         'accept_owner',
         accept,
@@ -93,8 +93,8 @@
     )
 
 
-def test_own_last_grant_not_reckoned_with(case):
-    """An owner must wait for its own grants too, long after its start."""
+def test_no_wait_for_own_last_grant(case):
+    """An owner must wait for its own grants, even long after its start."""
 
     def scenario(case):
         made = ownership_test.make_cluster()
@@ -106,8 +106,8 @@
     check(case, scenario, limits.Limits, 'replace_after_grant', wait)
 
 
-def test_former_owners_grants_not_reckoned_with(case):
-    """A new owner that does not wait runs a task of a cut-off VM twice."""
+def test_no_wait_for_grants_of_former_owners(case):
+    """A new owner that does not wait reruns a task of a cut-off VM."""
 
     def scenario(case):
         made = ownership_test.make_cluster(5, size=5)
@@ -136,17 +136,17 @@
     )
 
 
-def test_restarted_side_remembers_nothing_and_does_not_mind(case):
+def test_commands_accepted_before_the_epoch_is_read(case):
     check(
         case,
-        grants_test.test_restarted_side_obeys_and_keeps_nothing,
+        grants_test.test_restarted_side_accepts_no_epoch_and_no_grant,
         guard.Guard,
         'accepts',
         lambda self, epoch: epoch == self._epoch,
     )
 
 
-def test_refused_attempts_begun_later(case):
+def test_refused_attempts_started_later(case):
     check(
         case,
         ownership_test.test_refused_attempt_is_final,
@@ -166,7 +166,7 @@
     )
 
 
-def test_number_of_a_trimmed_entry_used_again(case):
+def test_number_of_a_trimmed_entry_reused(case):
     def append(self, batch):
         self._last_entry = None
         return original(self, batch)
@@ -181,7 +181,7 @@
     )
 
 
-def test_unconfirmed_append_taken_for_done(case):
+def test_unconfirmed_append_treated_as_done(case):
     check(
         case,
         shardlog_test.test_second_writer_deposes_the_first,
@@ -191,7 +191,7 @@
     )
 
 
-def test_unconfirmed_append_taken_for_lost(case):
+def test_unconfirmed_append_treated_as_lost(case):
     def read_back(self, key):
         found = self._kv.read(key)
         if found.is_ok() and found.ok_value is not None:
@@ -218,7 +218,7 @@
     )
 
 
-def test_leases_counted_from_now_on(case):
+def test_lease_end_not_bound_to_the_grant(case):
     check(
         case,
         agent_test.test_leases_end_a_while_after_the_grant,
@@ -228,7 +228,7 @@
     )
 
 
-def test_late_results_taken_twice(case):
+def test_results_of_former_attempts_accepted(case):
     check(
         case,
         reconcile_test.test_late_success_of_a_former_attempt_is_dropped,
@@ -239,7 +239,7 @@
 
 
 def test_results_dropped_before_they_are_logged(case):
-    """A side that forgets at once loses results with the owner."""
+    """A side that drops results at once loses them with the owner."""
 
     def judge(self, item, batch):
         original(self, item, batch)
@@ -250,15 +250,15 @@
     original = decider.Decider._judge
     check(
         case,
-        ownership_test.test_result_waits_out_an_outage_and_its_owner,
+        ownership_test.test_result_survives_an_outage_and_its_owner,
         decider.Decider,
         '_judge',
         judge,
     )
 
 
-def test_placing_on_a_silent_vm_again_at_once(case):
-    """The walk itself catches an owner that does not wait."""
+def test_random_walk_finds_a_missing_wait(case):
+    """A random walk detects an owner that does not wait."""
     with contextlib.ExitStack() as stack:
         stack.enter_context(
             mock.patch.object(
@@ -269,12 +269,12 @@
 
 
 def make_walk(seed):
-    """Return a test function that walks."""
+    """Return a test function that runs a random walk."""
     return lambda case: walk.Walk(seed).run()
 
 
-def test_losing_members_of_the_plan(case):
-    """Work that is never placed is noticed at the end of a walk."""
+def test_work_never_placed(case):
+    """Work that is never placed is noticed at the end of a run."""
 
     def scenario(case):
         made = cluster.Cluster(3)
@@ -290,10 +290,10 @@
     )
 
 
-def test_entries_not_cut_to_what_the_store_holds(case):
+def test_entries_not_limited_in_size(case):
     check(
         case,
-        ownership_test.test_large_submissions_are_cut_into_entries,
+        ownership_test.test_large_submissions_are_split_into_entries,
         shardlog,
         'count_fitting_events',
         len,
--- a/packages/scheduler/portwharf/scheduler/faults_untold_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_untold_test.py
@@ -1,8 +1,8 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Deliberate faults: VMs whose sides cannot look at their workers.
+"""Deliberate faults: VMs whose sides do not report their tasks.
 
-As in ``faults_test``: without the rule, the test named here fails.
+As in ``faults_test``, the named test must fail once a rule is disabled.
 """
 
 from portwharf.scheduler import decider
@@ -16,7 +16,7 @@
 
 
 def test_commands_answered_before_the_first_look(case):
-    """A task that runs on is called gone, and runs on two workers."""
+    """A task that still runs is reported gone, and runs on two workers."""
     faults_test.check(
         case,
         untold_test.test_task_is_not_moved_while_it_may_run_on,
@@ -26,10 +26,10 @@
     )
 
 
-def test_leases_of_a_former_life_not_waited_for(case):
+def test_leases_from_before_a_restart_not_waited_for(case):
     faults_test.check(
         case,
-        untold_test.test_side_that_starts_again_beside_a_silent_worker,
+        untold_test.test_side_that_restarts_beside_a_silent_worker,
         leases.LeaseKeeper,
         'have_lapsed',
         lambda self, now: True,
@@ -49,14 +49,14 @@
 def test_only_silent_vms_given_up(case):
     faults_test.check(
         case,
-        untold_test.test_side_that_starts_again_cut_off_from_the_store,
+        untold_test.test_side_that_restarts_cut_off_from_the_store,
         decider.Decider,
         '_is_lost',
         lambda self, name, now: self._members.is_silent(name, now),
     )
 
 
-def test_unanswered_starts_doubted_for_ever(case):
+def test_unanswered_starts_kept_for_ever(case):
     faults_test.check(
         case,
         sight_test.test_start_that_was_never_answered_is_gone_with_its_lease,
@@ -66,12 +66,12 @@
     )
 
 
-def test_reports_count_for_whatever_connection_there_is(case):
+def test_reports_of_ended_connections_accepted(case):
     def detach(self):
         self.view.reported = False
         self.view.granted = False
 
-    name = 'test_report_of_an_ended_connection_does_not_speak_for_the_next'
+    name = 'test_report_of_an_ended_connection_is_ignored'
     faults_test.check(
         case,
         getattr(untold_test, name),
--- a/packages/scheduler/portwharf/scheduler/grants_test.py
+++ b/packages/scheduler/portwharf/scheduler/grants_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An owner grants, and replaces, only when that is safe."""
+"""An owner grants and replaces only when that is safe."""
 
 from portwharf.core import clock
 from portwharf.scheduler import grants
@@ -12,7 +12,7 @@
 
 
 def make_table(acks=(), now=100.0):
-    """Return a table with acknowledgements of questions sent just now."""
+    """Return a table with acknowledgements of questions sent at ``now``."""
     table = grants.GrantTable(MEMBERS, LIMITS)
     for name in acks:
         table.record_ack(name, now, now)
@@ -49,7 +49,7 @@
     case.assertFalse(table.may_grant(103.0))
 
 
-def test_strangers_do_not_count(case):
+def test_non_members_do_not_count(case):
     table = make_table('ab')
     table.record_ack('x', 100.0, 100.0)
     case.assertFalse(table.may_grant(100.0))
@@ -92,7 +92,7 @@
 
 
 def make_guard(epoch=3):
-    """Return a side's guard that has learnt an epoch, and its clock."""
+    """Return a guard that has read an epoch, if any, and its clock."""
     now = clock.ManualClock()
     made = guard.Guard(now, LIMITS)
     if epoch is not None:
@@ -100,7 +100,7 @@
     return made, now
 
 
-def test_former_owner_is_turned_away(case):
+def test_former_owner_is_rejected(case):
     made, _ = make_guard()
     case.assertTrue(made.accept_owner(4, 'vm-1'))
     case.assertFalse(made.accept_owner(3, 'vm-0'))
@@ -127,7 +127,7 @@
     case.assertFalse(made.is_granted())
 
 
-def test_restarted_side_obeys_and_keeps_nothing(case):
+def test_restarted_side_accepts_no_epoch_and_no_grant(case):
     made, now = make_guard(epoch=None)
     case.assertTrue(made.accept_owner(4, 'vm-1'))
     made.accept_grant(4, now.read_monotonic(), True)
@@ -138,7 +138,7 @@
     case.assertFalse(made.accept_owner(4, 'vm-1'))
 
 
-def test_silence_is_heard_silence(case):
+def test_owner_is_heard_until_the_takeover_limit(case):
     made, now = make_guard()
     case.assertFalse(made.hears_owner(3))
     made.accept_owner(4, 'vm-1')
--- a/packages/scheduler/portwharf/scheduler/unasked_test.py
+++ b/packages/scheduler/portwharf/scheduler/late_start_test.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What nobody wants any more ends, also where it began late or by others.
+"""Cancelled work ends, even if it starts late or another side started it.
 
-A worker may leave a start unanswered and carry it out many seconds later;
-the side that sent an order may be gone by then.
+A worker may leave a start unanswered and carry it out many seconds later, when
+the side that sent it is gone.
 """
 
 import result
@@ -11,33 +11,33 @@
 from portwharf.testing import cluster
 from portwharf.testing import cluster_fakes
 
-_SILENT = result.Err('silent')
+_NO_ANSWER = result.Err('silent')
 
 
 class LateWorker(cluster_fakes.FakeWorker):
-    """A worker that leaves orders unanswered and carries them out late."""
+    """A worker that leaves commands unanswered and runs starts late."""
 
     def __init__(self, now):
         super().__init__(now)
-        self.late = False
+        self.delays = False
         self._starts = []
         self._stopped = set()
 
     def start(self, start):
-        if not self.late:
+        if not self.delays:
             return super().start(start)
         self._starts.append(start)
-        return _SILENT
+        return _NO_ANSWER
 
     def stop(self, task, attempt, checkpoint):
-        if self.late:
-            return _SILENT
-        # One that is stopped before it is there is not begun after that.
+        if self.delays:
+            return _NO_ANSWER
+        # An attempt that is stopped before it starts must not start later.
         self._stopped.add((task, attempt))
         return super().stop(task, attempt, checkpoint)
 
     def carry_out(self):
-        """Begin what was ordered long ago."""
+        """Run the starts that were left unanswered."""
         for start in self._starts:
             if (start.task, start.attempt) not in self._stopped:
                 super().start(start)
@@ -50,13 +50,13 @@
 
 
 def make_cluster():
-    """Return a cluster of late workers with an owner."""
+    """Return a cluster whose workers can delay starts, with an owner."""
     made = cluster.Cluster(3)
     for node in made.nodes:
         node.worker = LateWorker(node.clock)
         made.restart_side(node)
     made.run(1)
-    # Tasks go to the first VM, of which another has to be the owner.
+    # Tasks are placed on the first VM, so another one must be the owner.
     made.nodes[2].claim()
     made.run(15)
     return made
@@ -65,24 +65,24 @@
 def submit_unanswered(made):
     """Submit a job whose only start is left unanswered.
 
-    :returns: the job's id, and the node whose worker has the order
+    :returns: the id of the job, and the node whose worker has the start
     """
     for node in made.nodes:
-        node.worker.late = True
+        node.worker.delays = True
     accepted = made.submit()
     made.run(1)
     (node,) = [node for node in made.nodes if node.worker._starts]
     return accepted.value.id, node
 
 
-def test_start_carried_out_after_the_cancelling_is_stopped(case):
+def test_start_carried_out_after_its_cancellation_is_stopped(case):
     made = make_cluster()
     job, node = submit_unanswered(made)
     made.cancel(job)
     made.run(1)
     node.worker.carry_out()
     case.assertEqual(node.worker.count_running(), 1)
-    node.worker.late = False
+    node.worker.delays = False
     made.run(2)
     case.assertEqual(node.worker.count_running(), 0)
 
@@ -91,7 +91,7 @@
     made = make_cluster()
     job, node = submit_unanswered(made)
     made.cancel(job)
-    node.worker.late = False
+    node.worker.delays = False
     made.run(12)
     node.worker.carry_out()
     made.run(2)
@@ -105,12 +105,12 @@
     made.cancel(job)
     made.run(3)
     node.worker.carry_out()
-    node.worker.late = False
+    node.worker.delays = False
     made.run(3)
     case.assertEqual(node.worker.count_running(), 0)
 
 
-def test_task_whose_starter_was_removed_is_stopped_by_its_successor(case):
+def test_restarted_side_stops_a_task_cancelled_meanwhile(case):
     made = make_cluster()
     accepted = made.submit()
     made.run(2)
@@ -124,7 +124,7 @@
     case.assertEqual(node.worker.count_running(), 0)
 
 
-def test_task_whose_starter_was_removed_for_good_lapses(case):
+def test_cancelled_task_of_a_lost_side_ends_with_its_lease(case):
     made = make_cluster()
     accepted = made.submit()
     made.run(2)
--- a/packages/scheduler/portwharf/scheduler/members.py
+++ b/packages/scheduler/portwharf/scheduler/members.py
@@ -31,8 +31,8 @@
     :param heard: when the last heartbeat came, on the clock of the owner, or
         None
     :param largest: the largest capacity that its worker has reported
-    :param saved: list of ``messages.SavedTask`` not yet processed
-    :param measured: list of ``messages.RunMeasure`` not yet processed
+    :param saved: deque of ``messages.SavedTask`` not yet processed
+    :param measured: deque of ``messages.RunMeasure`` not yet processed
     :param granted: the last grant on this connection was valid
     :param reported: the side has sent its full report on this connection
     """
--- a/packages/scheduler/portwharf/scheduler/members_test.py
+++ b/packages/scheduler/portwharf/scheduler/members_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Links to members over real sockets: greetings, silence, a quick end."""
+"""Links to members over sockets: greetings, silence and ending."""
 
 import queue
 import socket
@@ -19,7 +19,7 @@
 
 
 class FakeOwner:
-    """What a link calls."""
+    """The methods of an owner that a link calls."""
 
     epoch = 3
     limits = limits.Limits()
@@ -36,7 +36,7 @@
         return conn
 
     def read_clock(self):
-        """Return any time."""
+        """Return a fixed time."""
         return 7.0
 
     def make_hello(self):
@@ -48,7 +48,7 @@
         return messages.ConfigUpdate(5, 'text')
 
     def make_held(self, member):
-        """Return what a member's VM holds."""
+        """Return the tasks that a member holds."""
         return HELD
 
     def make_zones(self):
@@ -60,25 +60,25 @@
         return messages.RosterUpdate()
 
     def make_presses(self):
-        """Return what is known of pairs of images."""
+        """Return the known effects between pairs of images."""
         return messages.PressUpdate()
 
     def take_observed(self, observed):
-        """Take what a side has observed."""
+        """Ignore what a side has measured."""
 
     def make_grant(self, member, side_ms):
         """Return a grant."""
         return messages.Grant(side_ms, 7000, 3, side_ms > 0)
 
     def note_epoch(self, epoch):
-        """Take an epoch."""
+        """Ignore an epoch."""
 
     def record_ack(self, member, beat):
-        """Take an acknowledgement."""
+        """Queue an acknowledgement."""
         self.acks.put((member, beat.owner_ms))
 
     def take_reports(self, link, message):
-        """Take reports."""
+        """Queue reports."""
         self.reports.put(message)
 
 
@@ -90,7 +90,7 @@
 
 
 def accept(case):
-    """Return a listener whose connections go to a queue."""
+    """Return the port of a listener, and the queue of its connections."""
     conns = queue.Queue()
     ended = threading.Event()
     case.addCleanup(ended.set)
@@ -105,7 +105,7 @@
 
 
 def greet(conns):
-    """Take a connection and exchange greetings as a side does."""
+    """Take a connection from the queue and greet as a side does."""
     conn = conns.get(timeout=10)
     streams.check_greeting(conn.receive())
     conn.send(messages.Hello(role='side', name='vm-1'))
@@ -146,7 +146,7 @@
 
 
 def test_link_ends_at_once_while_a_peer_does_not_greet(case):
-    """A paused side accepts connections and says nothing."""
+    """A paused side accepts connections and sends nothing."""
     server = socket.create_server(('127.0.0.1', 0))
     case.addCleanup(server.close)
     link, owner = make_link(case, server.getsockname()[1])
@@ -161,12 +161,12 @@
 
 def test_connection_that_goes_silent_is_replaced_by_a_new_one(case):
     port, conns = accept(case)
-    between = case.enterContext(relay.Relay('127.0.0.1', 0, port))
-    link, _ = make_link(case, between.port)
+    relayed = case.enterContext(relay.Relay('127.0.0.1', 0, port))
+    link, _ = make_link(case, relayed.port)
     conn = greet(conns)
     case.assertEqual(conn.receive(), messages.Grant(0, 7000, 3, False))
-    between.hush()
-    # Long before a silent peer of the streams in general is given up.
+    relayed.hush()
+    # Much earlier than the idle timeout of streams in general.
     conn = conns.get(timeout=8)
     streams.check_greeting(conn.receive())
     conn.send(messages.Hello(role='side', name='vm-1'))
--- a/packages/scheduler/portwharf/scheduler/membership_test.py
+++ b/packages/scheduler/portwharf/scheduler/membership_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A new owner waits for its members, but not for one that is gone."""
+"""How long a new owner waits for its members, and what must not wait."""
 
 import threading
 
@@ -11,7 +11,10 @@
 
 
 def open_members(size, granted):
-    """Return the membership of a new owner that so many have joined."""
+    """Return the membership of a new owner, and when it began.
+
+    :param granted: how many members have a valid grant
+    """
     made = cluster.Cluster(size)
     made.run(4)
     members = made.list_owners()[0].owner._members
@@ -20,19 +23,19 @@
     return members, members._began
 
 
-def test_owner_that_all_have_joined_begins_at_once(case):
+def test_owner_settles_at_once_when_all_have_joined(case):
     members, began = open_members(4, 4)
     case.assertTrue(members.has_settled(began))
 
 
-def test_one_that_is_gone_is_waited_for_a_moment(case):
+def test_lost_member_delays_settling_briefly(case):
     members, began = open_members(4, 3)
     case.assertFalse(members.has_settled(began))
     soon = began + membership.MIN_SETTLE_SECONDS
     case.assertTrue(members.has_settled(soon))
 
 
-def test_owner_that_few_have_joined_waits(case):
+def test_owner_waits_when_few_have_joined(case):
     members, began = open_members(4, 2)
     soon = began + membership.MIN_SETTLE_SECONDS
     case.assertFalse(members.has_settled(soon))
@@ -40,18 +43,18 @@
 
 
 def test_side_is_greeted_while_the_vm_list_is_slow(case):
-    """A connection does not wait for what the deciding thread waits for.
+    """A connection does not wait for the VM list, as the deciding thread does.
 
-    Until it has told what the VM holds, an owner hears no heartbeat there,
-    and a VM that is not heard for long enough is given up.
+    The owner gets no heartbeat before it has sent the tasks of the VM, and it
+    treats a VM without heartbeats as lost.
     """
     made = cluster.Cluster(3)
     owner = made.nodes[0].owner
-    reading, greeted, go_on = (threading.Event() for _ in range(3))
+    reading, greeted, let_read_end = (threading.Event() for _ in range(3))
 
     def read():
         reading.set()
-        go_on.wait(10)
+        let_read_end.wait(10)
         return result.Err('slow')
 
     def greet_side():
@@ -67,7 +70,7 @@
     case.assertTrue(reading.wait(10))
     threads[1].start()
     in_time = greeted.wait(1)
-    go_on.set()
+    let_read_end.set()
     for thread in threads:
         thread.join()
     case.assertTrue(in_time)
--- a/packages/scheduler/portwharf/scheduler/ownership_test.py
+++ b/packages/scheduler/portwharf/scheduler/ownership_test.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Owners, sides and workers together, under each failure by itself.
+"""Owners, sides and workers together, under one kind of failure at a time.
 
-The cluster steps the real code; after every step it checks the workers'
-own record, so that a test need only bring the failure about.
+The cluster steps the real code and checks the workers' records after every
+step, so that a test only has to cause the failure.
 """
 
 import random
@@ -18,8 +18,8 @@
 from portwharf.testing import cluster
 from portwharf.testing import walk
 
-# Longer than anything that an owner has to wait for.
-LONG = cluster.LIMITS.replace_after_majority + 10
+# Longer than any wait of an owner.
+LONG_WAIT_SECONDS = cluster.LIMITS.replace_after_majority + 10
 
 
 def make_cluster(count=3, size=3, **fields):
@@ -41,12 +41,12 @@
 
 
 def finish(made):
-    """Settle and check the end."""
+    """Let the cluster settle, then check the final state."""
     made.settle()
     made.check_end()
 
 
-def test_work_runs_once_and_comes_to_its_end(case):
+def test_work_runs_once_and_ends(case):
     made = make_cluster()
     finish(made)
     case.assertEqual(count_runs(made), 3)
@@ -67,7 +67,7 @@
     made.nodes[0].paused = True
     made.run(5)
     made.nodes[1].claim()
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.nodes[0].paused = False
     made.run(5)
     case.assertEqual(made.list_owners(), [made.nodes[1]])
@@ -79,7 +79,7 @@
     cut_off = made.nodes[2]
     (task,) = list_running(cut_off)
     made.isolate(cut_off)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(list_running(cut_off), [])
     others = list_running(made.nodes[0]) + list_running(made.nodes[1])
     case.assertIn(task, others)
@@ -113,7 +113,7 @@
 def test_store_confirms_an_owner_without_its_members(case):
     made = make_cluster()
     made.isolate(made.nodes[0], store=False)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(len(list_running(made.nodes[0])), 2)
 
 
@@ -127,7 +127,7 @@
     case.assertEqual(count_runs(made), 3)
 
 
-def test_result_waits_out_an_outage_and_its_owner(case):
+def test_result_survives_an_outage_and_its_owner(case):
     made = make_cluster()
     made.standin.faults.down = True
     made.finish_running()
@@ -151,21 +151,21 @@
     case.assertEqual(len(list_running(made.nodes[1])), 1)
 
 
-def test_two_owners_at_once_are_settled_by_the_log(case):
+def test_log_decides_between_two_owners(case):
     made = make_cluster()
     first, second, third = made.nodes
     made.cut(first, second)
     made.cut(first, third)
     second.claim()
     made.submit(2)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(made.list_owners(), [second])
     finish(made)
 
 
-def test_large_submissions_are_cut_into_entries(case):
+def test_large_submissions_are_split_into_entries(case):
     made = cluster.Cluster(3)
-    # What an operator sends need not compress.
+    # Random bytes, which do not compress.
     chance = random.Random(1)
     for _ in range(40):
         made.submit(1, argument=chance.randbytes(60_000))
@@ -189,7 +189,7 @@
     finish(made)
 
 
-def test_lost_answers_double_nothing(case):
+def test_lost_answers_duplicate_nothing(case):
     made = cluster.Cluster(3)
     for _ in range(5):
         made.standin.faults.lose_answers = 2
@@ -200,7 +200,7 @@
 
 
 def test_refused_attempt_is_final(case):
-    """A copy of a start that was refused must not be obeyed later."""
+    """A duplicate of a refused start must not be carried out later."""
     made = make_cluster()
     node = made.nodes[1]
     sent = []
@@ -228,7 +228,7 @@
     first, second, third = made.nodes
     made.run(2)
     made.submit(1)
-    # The owner logs and sends; nothing arrives any more.
+    # The owner logs and sends the start, which is not delivered.
     first.step()
     first.paused = True
     target = next(
@@ -246,7 +246,7 @@
     case.assertEqual(len(node.worker.record), before)
 
 
-def test_worker_that_refuses_everything_is_passed_over(case):
+def test_worker_that_refuses_all_starts_is_avoided(case):
     made = cluster.Cluster(3)
     made.nodes[0].worker.broken = True
     made.submit(2)
@@ -289,7 +289,7 @@
     finish(made)
 
 
-def test_vm_that_leaves_is_emptied_by_checkpoint(case):
+def test_leaving_vm_is_emptied_by_checkpoint(case):
     made = make_cluster()
     leaving = made.nodes[2]
     (task,) = list_running(leaving)
@@ -306,17 +306,17 @@
     case.assertTrue(resumed[0].from_checkpoint.startswith(task))
 
 
-def test_resigning_owner_calls_its_successor(case):
+def test_resigning_owner_asks_its_successor(case):
     made = make_cluster()
     made.nodes[0].owner.resign()
     made.connect_all()
     made.deliver_all()
-    called = [node for node in made.nodes if node.guard.take_call()]
-    case.assertEqual(len(called), 1)
-    case.assertNotEqual(called[0], made.nodes[0])
+    asked = [node for node in made.nodes if node.guard.take_call()]
+    case.assertEqual(len(asked), 1)
+    case.assertNotEqual(asked[0], made.nodes[0])
 
 
-def test_new_member_counts_from_its_entry(case):
+def test_new_member_is_used_once_it_is_in_the_log(case):
     made = make_cluster()
     vm = cluster.fixtures.make_vm(7)
     made.nodes.append(cluster.Node(made, vm, 1.0))
@@ -328,7 +328,7 @@
     case.assertTrue(list_running(made.nodes[-1]))
 
 
-def test_vm_off_the_list_goes_only_when_silent_and_late(case):
+def test_vm_off_the_list_is_removed_only_after_long_silence(case):
     made = make_cluster()
     gone = made.nodes[2]
     made.listing.vms.remove(gone.vm)
@@ -339,7 +339,7 @@
     case.assertNotIn(gone.vm.name, made.read_state().members)
 
 
-def test_snapshot_and_trimming_under_way_lose_nothing(case):
+def test_snapshots_and_trimming_lose_nothing(case):
     made = cluster.Cluster(3)
     first, second = made.nodes[:2]
     for _ in range(3):
--- a/packages/scheduler/portwharf/scheduler/power_loss_test.py
+++ b/packages/scheduler/portwharf/scheduler/power_loss_test.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Power comes back everywhere, played: for how long nobody decides.
+"""How long a shard has no owner after power is lost everywhere.
 
-The load: all sides begin within some tenths of a second of each other, and
-callers wait for an owner. Watchers and guards are the real ones, each looks
-each tenth of a second; time, connections and who is up are played here.
+All sides start within some tenths of a second of each other, and callers wait
+for an owner. The watchers and guards are real and poll every tenth of a
+second; time, connections and the state of processes are simulated.
 """
 
 import random
@@ -23,17 +23,17 @@
 LIMITS = limits.Limits(takeover=1.3, rank_step=0.3)
 SIDES = 11
 POLL_SECONDS = 0.1
-# Within this all sides are up again.
+# The time within which all sides have started.
 SPREAD_SECONDS = 0.2
-MOST_POLLS = 60
+MAX_POLLS = 60
 SEEDS = range(30)
 
 
 class Conn:
-    """A connection to a side that answers by what it has heard."""
+    """A connection to a side that gives a fixed answer."""
 
-    def __init__(self, told):
-        self._told = [messages.Hello(role='side'), told]
+    def __init__(self, answer):
+        self._replies = [messages.Hello(role='side'), answer]
 
     def __enter__(self):
         return self
@@ -42,29 +42,29 @@
         pass
 
     def set_idle(self, seconds):
-        """There is nobody to wait for."""
+        """Ignore the idle timeout, as answers come at once."""
 
     def send(self, message):
-        """Take a greeting or a question."""
+        """Ignore a greeting or a query."""
 
     def receive(self):
-        """Greet, then answer."""
-        return self._told.pop(0)
+        """Return the greeting first, then the answer."""
+        return self._replies.pop(0)
 
 
 class Side:
-    """One side, from its start on."""
+    """One side, from its start."""
 
-    def __init__(self, world, vm, begins):
-        """Take the world, the side's VM and when it begins."""
-        self.begins = begins
+    def __init__(self, world, vm, start_time):
+        """Take the world, the side's VM and its start time."""
+        self.start_time = start_time
         self.name = vm.name
         self._world = world
         self.guard = None
         self.watcher = None
 
-    def begin(self):
-        """Begin the process: it knows nothing."""
+    def start(self):
+        """Start the process, with nothing in memory."""
         world = self._world
         self.guard = guard.Guard(world.clock, LIMITS)
         env = environment.Environment(
@@ -79,8 +79,8 @@
         self.watcher = takeover.Watcher(env, self.guard, world.kv)
         self.watcher._start_owner = world.claims.append
 
-    def look(self):
-        """Do what a watcher does at one of its looks."""
+    def poll(self):
+        """Do one poll of the watcher."""
         if self.guard.forgetful:
             self.watcher._load_members()
         elif self.watcher._is_our_turn():
@@ -90,7 +90,7 @@
 
 
 class World:
-    """All sides after power was lost everywhere; the former owner too."""
+    """All sides after a power loss everywhere, with that of the last owner."""
 
     def __init__(self, seed):
         rnd = random.Random(seed)
@@ -99,64 +99,66 @@
         takeover.found_shard(self.kv, 0, vms[seed % SIDES].name, vms)
         self.clock = clock.ManualClock()
         self.claims = []
-        begin = self.clock.read_monotonic()
+        start = self.clock.read_monotonic()
         self.sides = {
-            vm.name: Side(self, vm, begin + rnd.uniform(0, SPREAD_SECONDS))
+            vm.name: Side(self, vm, start + rnd.uniform(0, SPREAD_SECONDS))
             for vm in vms
         }
 
     def dial(self, vm):
-        """Connect to a side, if it is up."""
+        """Connect to a side, if it has started."""
         side = self.sides[vm.name]
         if side.guard is None:
-            raise streams.PeerError('nobody listens')
+            raise streams.PeerError('connection refused')
         heard = side.guard.has_heard
-        told = messages.OwnerAnswer(
+        answer = messages.OwnerAnswer(
             side.guard.epoch,
             side.guard.hears_owner(1),
             side.guard.forgetful,
             not heard,
         )
-        return Conn(told)
+        return Conn(answer)
 
-    def play(self):
-        """Play until somebody takes over.
+    def run_until_takeover(self):
+        """Run until a side takes over.
 
-        :returns: seconds from power to that
+        :returns: seconds since power came back; infinite if none does
         """
-        for number in range(MOST_POLLS):
+        for number in range(MAX_POLLS):
             self.clock.advance(POLL_SECONDS)
             now = self.clock.read_monotonic()
             for side in self.sides.values():
-                if side.guard is None and now >= side.begins:
-                    side.begin()
+                if side.guard is None and now >= side.start_time:
+                    side.start()
                 elif side.guard is not None:
-                    side.look()
+                    side.poll()
             if self.claims:
                 return (number + 1) * POLL_SECONDS
         return float('inf')
 
 
-def test_callers_have_an_owner_as_soon_as_all_sides_are_up(case):
-    # Before, the first in line waited for 0.65 s from its start on.
+def test_takeover_is_immediate_once_all_sides_are_up(case):
+    # The first in line must not wait for its full silence first.
     for seed in SEEDS:
         world = World(seed)
-        # Its start, its look at the log, and the look after all are up.
-        most = SPREAD_SECONDS + 3 * POLL_SECONDS
-        case.assertLessEqual(world.play(), most + POLL_SECONDS / 2, seed)
+        # One poll each to start, to read the log, and to query all sides.
+        max_seconds = SPREAD_SECONDS + 3 * POLL_SECONDS
+        case.assertLessEqual(
+            world.run_until_takeover(), max_seconds + POLL_SECONDS / 2, seed
+        )
         case.assertEqual(len(world.claims), 1, seed)
         case.assertTrue(world.claims[0].is_ok(), seed)
 
 
-def test_one_side_that_stays_down_costs_the_usual_silence(case):
+def test_side_that_stays_down_delays_the_takeover(case):
     for seed in SEEDS:
         world = World(seed)
         down = world.sides[f'vm-{(seed + 1) % SIDES:02d}']
-        down.begins = float('inf')
-        took = world.play()
-        least = LIMITS.takeover * takeover.RESTARTED_WAIT_SHARE
-        case.assertGreaterEqual(took, least, seed)
-        case.assertLess(took, float('inf'), seed)
-        # Two may act at once; the log lets one of them.
-        won = [one for one in world.claims if one.is_ok()]
-        case.assertEqual(len(won), 1, seed)
+        down.start_time = float('inf')
+        elapsed = world.run_until_takeover()
+        min_seconds = LIMITS.takeover * takeover.RESTARTED_WAIT_SHARE
+        case.assertGreaterEqual(elapsed, min_seconds, seed)
+        case.assertLess(elapsed, float('inf'), seed)
+        # Two sides may act at once; the log accepts one of them.
+        succeeded = [claim for claim in world.claims if claim.is_ok()]
+        case.assertEqual(len(succeeded), 1, seed)
--- a/packages/scheduler/portwharf/scheduler/rosters.py
+++ b/packages/scheduler/portwharf/scheduler/rosters.py
@@ -45,7 +45,7 @@
         :returns: (event or None, whether there is news to announce)
         """
         if self._pending is not None:
-            return self._commit_pending(now_ms, has_lapsed)
+            return self._conclude(now_ms, has_lapsed)
         services = list_services(self._state, views)
         last = self._state.rosters[-1] if self._state.rosters else None
         if services == (last.services if last else []):
@@ -59,7 +59,7 @@
         self._pending = data.Roster(seq, 0, services)
         return None, True
 
-    def _commit_pending(self, now_ms, has_lapsed):
+    def _conclude(self, now_ms, has_lapsed):
         """Put the pending roster in force once no side acts by the old one."""
         seq = self._pending.seq
         for name in self._state.members:
--- a/packages/scheduler/portwharf/scheduler/shardlog_test.py
+++ b/packages/scheduler/portwharf/scheduler/shardlog_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The log is kept whole through lost answers, rivals and trimming."""
+"""The log survives lost answers, competing writers and trimming."""
 
 import random
 
@@ -10,24 +10,24 @@
 from portwharf.scheduler import shardlog
 from portwharf.testing import fixtures
 
-JOB = events.WorkloadCancelled('0-job')
+EVENT = events.WorkloadCancelled('0-job')
 
 
 def open_log(kv, shard=0):
-    """Return a log that stands at its end."""
+    """Return a log that was read to its end."""
     log = shardlog.ShardLog(kv, shard)
     log.read()
     return log
 
 
 def append_all(log, count):
-    """Append entries that are told apart by an id."""
+    """Append entries that are distinguished by an id."""
     for number in range(count):
         log.append([events.WorkloadCancelled(str(number))])
 
 
 def list_ids(contents):
-    """Return the ids of a log's events, in order."""
+    """Return the ids of the events in a log, in order."""
     return [event.id for batch in contents.batches for event in batch]
 
 
@@ -38,18 +38,18 @@
     case.assertEqual(list_ids(contents), ['0', '1', '2'])
 
 
-def test_empty_log_is_told(case):
+def test_empty_log_is_reported(case):
     kv, _ = fixtures.make_store()
     case.assertTrue(shardlog.ShardLog(kv, 0).read().ok_value.empty)
 
 
-def test_shards_are_apart(case):
+def test_shards_have_separate_logs(case):
     kv, _ = fixtures.make_store()
     append_all(open_log(kv, 1), 2)
     case.assertTrue(shardlog.ShardLog(kv, 0).read().ok_value.empty)
 
 
-def test_read_goes_on_past_one_call(case):
+def test_read_takes_several_calls(case):
     kv, _ = fixtures.make_store()
     append_all(open_log(kv), shardlog.READ_MAX_ENTRIES + 1)
     contents = shardlog.ShardLog(kv, 0).read().ok_value
@@ -60,7 +60,7 @@
     kv, standin = fixtures.make_store()
     log = open_log(kv)
     standin.faults.lose_answers = 1
-    case.assertEqual(log.append([JOB]).ok_value, 0)
+    case.assertEqual(log.append([EVENT]).ok_value, 0)
     contents = shardlog.ShardLog(kv, 0).read().ok_value
     case.assertEqual(len(contents.batches), 1)
 
@@ -69,40 +69,40 @@
     kv, standin = fixtures.make_store()
     log = open_log(kv)
     standin.faults.lose_requests = 1
-    case.assertIsInstance(log.append([JOB]).err_value, shardlog.Stalled)
-    case.assertEqual(log.append([JOB]).ok_value, 0)
+    case.assertIsInstance(log.append([EVENT]).err_value, shardlog.Stalled)
+    case.assertEqual(log.append([EVENT]).ok_value, 0)
     contents = shardlog.ShardLog(kv, 0).read().ok_value
     case.assertEqual(len(contents.batches), 1)
 
 
-def test_outage_after_the_effect_is_settled_later(case):
+def test_append_before_an_outage_is_confirmed_later(case):
     kv, standin = fixtures.make_store()
     log = open_log(kv)
-    log.append([JOB])
+    log.append([EVENT])
     standin.faults.lose_answers = 1
     read = kv.read
-    kv.read = lambda key: _fail(standin, read, key)
-    case.assertIsInstance(log.append([JOB]).err_value, shardlog.Stalled)
+    kv.read = lambda key: _read_after_failure(standin, read, key)
+    case.assertIsInstance(log.append([EVENT]).err_value, shardlog.Stalled)
     kv.read = read
     standin.faults.down = False
-    case.assertEqual(log.append([JOB]).ok_value, 1)
+    case.assertEqual(log.append([EVENT]).ok_value, 1)
     case.assertEqual(log.next_seq, 2)
 
 
 def test_second_writer_deposes_the_first(case):
     kv, _ = fixtures.make_store()
     first, second = open_log(kv), open_log(kv)
-    case.assertTrue(second.append([JOB]).is_ok())
-    deposed = first.append([JOB]).err_value
+    case.assertTrue(second.append([EVENT]).is_ok())
+    deposed = first.append([EVENT]).err_value
     case.assertIsInstance(deposed, shardlog.Deposed)
 
 
-def test_two_writers_of_the_same_events_are_told_apart(case):
+def test_same_events_of_two_writers_are_distinguished(case):
     kv, standin = fixtures.make_store()
     first, second = open_log(kv), open_log(kv)
-    second.append([JOB])
+    second.append([EVENT])
     standin.faults.lose_requests = 1
-    deposed = first.append([JOB]).err_value
+    deposed = first.append([EVENT]).err_value
     case.assertIsInstance(deposed, shardlog.Deposed)
 
 
@@ -113,7 +113,7 @@
     later = open_log(kv)
     append_all(later, 5)
     case.assertTrue(later.write_snapshot(b'state').is_ok())
-    deposed = former.append([JOB]).err_value
+    deposed = former.append([EVENT]).err_value
     case.assertIsInstance(deposed, shardlog.Deposed)
 
 
@@ -123,11 +123,11 @@
     later = open_log(kv)
     append_all(later, 5)
     later.write_snapshot(b'state')
-    deposed = founder.append([JOB]).err_value
+    deposed = founder.append([EVENT]).err_value
     case.assertIsInstance(deposed, shardlog.Deposed)
 
 
-def test_snapshot_stands_for_what_it_trims(case):
+def test_snapshot_replaces_the_trimmed_entries(case):
     kv, standin = fixtures.make_store()
     log = open_log(kv)
     append_all(log, 4)
@@ -169,9 +169,9 @@
 def test_head_is_confirmed_until_another_appends(case):
     kv, _ = fixtures.make_store()
     log = open_log(kv)
-    log.append([JOB])
+    log.append([EVENT])
     case.assertTrue(log.check_head().ok_value)
-    open_log(kv).append([JOB])
+    open_log(kv).append([EVENT])
     case.assertFalse(log.check_head().ok_value)
 
 
@@ -179,18 +179,18 @@
     kv, standin = fixtures.make_store()
     log = open_log(kv)
     standin.faults.down = True
-    case.assertIsInstance(log.append([JOB]).err_value, shardlog.Stalled)
+    case.assertIsInstance(log.append([EVENT]).err_value, shardlog.Stalled)
     standin.faults.down = False
-    case.assertEqual(log.append([JOB]).ok_value, 0)
+    case.assertEqual(log.append([EVENT]).ok_value, 0)
 
 
-def _fail(standin, read, key):
-    """Make the store go down just before a read."""
+def _read_after_failure(standin, read, key):
+    """Read a key just after the store went down."""
     standin.faults.down = True
     return read(key)
 
 
-def test_what_only_an_owner_needs_is_read_by_owners_alone(case):
+def test_only_owners_read_the_owner_part_of_a_snapshot(case):
     kv, standin = fixtures.make_store()
     log = open_log(kv)
     append_all(log, 2)
@@ -203,13 +203,13 @@
     case.assertEqual(owner.aside, history)
     side = shardlog.ShardLog(kv, 0).read(whole=False).ok_value
     case.assertEqual((side.snapshot, side.aside), (b'two', b''))
-    # That of the first snapshot is gone with it.
+    # The chunks of the first snapshot are deleted.
     chunks = [key for key in standin.list_keys() if '/snapshot/' in key]
     case.assertEqual(len(chunks), 3)
 
 
 def make_placements(count):
-    """Return the events of a pass that places tasks, as an owner has them."""
+    """Return the events that a pass of an owner makes to place tasks."""
     made = []
     for number in range(count):
         task = f'5c0e7a21d94b36f8.0.0.{number}'
@@ -230,18 +230,18 @@
     (entry,) = [
         kv.read(key).ok_value for key in standin.list_keys() if '/log/' in key
     ]
-    plain = msgpack.packb(events.write_events(placed))
-    case.assertLess(len(entry.value), len(plain) / 4)
+    uncompressed = msgpack.packb(events.write_events(placed))
+    case.assertLess(len(entry.value), len(uncompressed) / 4)
     (batch,) = shardlog.ShardLog(kv, 0).read().ok_value.batches
     case.assertEqual(batch, placed)
 
 
-def test_entry_written_before_any_were_compressed_is_read(case):
+def test_uncompressed_entry_is_read(case):
     kv, _ = fixtures.make_store()
-    value = {'nonce': 'n', 'events': events.write_events([JOB])}
+    value = {'nonce': 'n', 'events': events.write_events([EVENT])}
     kv.swap('shards/0000/log/000000000000', msgpack.packb(value), 0)
     (batch,) = shardlog.ShardLog(kv, 0).read().ok_value.batches
-    case.assertEqual(batch, [JOB])
+    case.assertEqual(batch, [EVENT])
 
 
 def test_garbled_entry_is_told_from_a_lost_one(case):
--- a/packages/scheduler/portwharf/scheduler/suspension_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspension_test.py
@@ -1,11 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A VM that is suspended for seconds, and wakes with its backlog.
+"""A VM that is suspended for some seconds and resumes with a backlog.
 
-The steady clock stands still meanwhile. An owner that went by it would wake
-with grants that it takes for fresh, and give a side that its successor cannot
-reach the time to keep a task that runs elsewhere by then. So all deadlines
-that safety rests on are read on a clock that counts the suspension.
+A monotonic clock may stop during the suspension. An owner that relied on such
+a clock would resume with grants that it takes for fresh. It could then extend
+the leases of a side that its successor cannot reach, for a task that runs
+elsewhere by then. So all deadlines that safety depends on use a clock that
+counts the suspension.
 """
 
 from portwharf.core import data
@@ -17,28 +18,30 @@
 LIMITS = cluster.LIMITS
 
 
-def suspend(node, counts):
+def suspend(node, clock_runs):
     """Suspend a node.
 
-    :param counts: its clock counts the time of it
+    :param clock_runs: its clock counts the time of the suspension
     """
     node.paused = True
-    if not counts:
+    if not clock_runs:
         node.clock.stop()
 
 
-def wake(node, counts):
-    """Wake a node; what was sent to it meanwhile arrives."""
+def wake(node, clock_runs):
+    """Resume a node, which then receives what was sent to it meanwhile."""
     node.paused = False
-    if not counts:
+    if not clock_runs:
         node.clock.go_on()
 
 
-def keep_alive_by_a_woken_owner(counts):
-    """Have an owner wake while its successor waits to run a task again.
+def wake_superseded_owner(clock_runs):
+    """Resume an owner while its successor waits to rerun a task.
 
-    The side that has the task cannot be reached by the successor, and its
-    last lease has not run out when the former owner wakes and hears it.
+    The successor cannot reach the side that has the task, and the last lease
+    of that side has not expired when the former owner resumes and hears it.
+
+    :returns: the cluster, after all waits of the successor
     """
     made = ownership_test.make_cluster(count=5, size=5)
     former, successor, *others = made.nodes
@@ -46,69 +49,68 @@
     for other in (successor, *others):
         made.cut(side, other)
     made.run(0.5)
-    suspend(former, counts)
+    suspend(former, clock_runs)
     successor.claim()
     made.run(LIMITS.confirm + 1)
     made.isolate(former)
     made.cuts.discard(frozenset((former.vm.name, side.vm.name)))
-    wake(former, counts)
-    # As long as the former owner believes in its last majority.
+    wake(former, clock_runs)
+    # For as long as the former owner relies on its last majority.
     made.run(LIMITS.confirm, step=0.25)
     made.isolate(former)
-    # What its worker runs lasts as long as its leases.
+    # The tasks on its worker last until their leases expire.
     side.paused = True
-    made.run(ownership_test.LONG)
+    made.run(ownership_test.LONG_WAIT_SECONDS)
     return made
 
 
-def test_woken_owner_keeps_nothing_alive(case):
-    made = keep_alive_by_a_woken_owner(counts=True)
+def test_woken_owner_extends_no_lease(case):
+    made = wake_superseded_owner(clock_runs=True)
     made.settle()
     made.check_end()
 
 
-def test_woken_owner_with_a_clock_that_stood_still(case):
-    """What the steady clock would bring about."""
+def test_woken_owner_with_a_stopped_clock(case):
+    """The failure that a clock which stops in a suspension causes."""
     with case.assertRaises(cluster_fakes.Violation):
-        keep_alive_by_a_woken_owner(counts=False)
+        wake_superseded_owner(clock_runs=False)
 
 
-def test_woken_owner_answers_no_question_as_one(case):
-    """It may have been followed, and not know of the latest jobs."""
+def test_woken_owner_refuses_reads_until_confirmed(case):
+    """It may have a successor and not know of the latest jobs."""
     made = ownership_test.make_cluster()
     node = made.nodes[0]
     operation = messages.Operation(1, 'list-workloads', b'\x80')
     case.assertEqual(node.owner.operate(operation).status, 'ok')
-    suspend(node, counts=True)
+    suspend(node, clock_runs=True)
     made.run(LIMITS.confirm + 1)
     case.assertEqual(node.owner.operate(operation).status, 'not-owner')
-    wake(node, counts=True)
+    wake(node, clock_runs=True)
     made.run(3)
     case.assertEqual(node.owner.operate(operation).status, 'ok')
 
 
-def test_woken_side_begins_nothing_of_before(case):
-    """A start that waited while it was suspended came under an old grant."""
+def test_woken_side_starts_no_old_commands(case):
+    """A start that waited during the suspension has an expired grant."""
     made = ownership_test.make_cluster(count=1)
     node = made.nodes[2]
     made.submit(6)
     made.connect_all()
-    suspend(node, counts=True)
-    made.run(ownership_test.LONG)
-    wake(node, counts=True)
+    suspend(node, clock_runs=True)
+    made.run(ownership_test.LONG_WAIT_SECONDS)
+    wake(node, clock_runs=True)
     made.run(5)
     made.settle()
     made.check_end()
 
 
-def test_work_of_a_suspended_vm_goes_on_where_it_is(case):
-    """A short one costs nobody anything."""
+def test_short_suspension_moves_no_work(case):
     made = ownership_test.make_cluster()
     node = made.nodes[2]
     before = ownership_test.count_runs(made)
-    suspend(node, counts=True)
+    suspend(node, clock_runs=True)
     made.run(LIMITS.unreachable - 1)
-    wake(node, counts=True)
+    wake(node, clock_runs=True)
     made.run(5)
     case.assertEqual(ownership_test.count_runs(made), before)
     case.assertEqual(
--- a/packages/scheduler/portwharf/scheduler/takeover_test.py
+++ b/packages/scheduler/portwharf/scheduler/takeover_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Who takes a silent owner's place, and who does not."""
+"""Which side takes over from a silent owner, and which does not."""
 
 from portwharf.core import clock
 from portwharf.core import ids
@@ -20,7 +20,7 @@
 
 
 class FakeConn:
-    """A connection to a member that answers as a test says."""
+    """A connection to a member that gives a fixed answer."""
 
     def __init__(self, answer):
         self._answer = answer
@@ -34,14 +34,14 @@
         pass
 
     def set_idle(self, seconds):
-        """Note the bound on waiting."""
+        """Record the idle timeout."""
         self.idle.append(seconds)
 
     def send(self, message):
-        """Take a message."""
+        """Ignore a message."""
 
     def receive(self):
-        """Greet, then answer."""
+        """Return the greeting first, then the answer."""
         if not self._greeted:
             self._greeted = True
             return messages.Hello(role='side')
@@ -52,11 +52,11 @@
         return self._answer
 
 
-class Bench:
-    """A watcher on the first in line, of a shard that vm-00 owns."""
+class WatcherBench:
+    """A watcher on the first VM in line, in a shard that vm-00 owns."""
 
     def __init__(self, answers):
-        """Take a map of member to answer."""
+        """Take a map of member name to answer."""
         self.kv, _ = fixtures.make_store()
         takeover.found_shard(self.kv, 0, 'vm-00', VMS)
         self.clock = clock.ManualClock()
@@ -86,93 +86,93 @@
         self.conns.append(conn)
         return conn
 
-    def look(self, silence):
-        """Let the owner be silent for a while, then look once."""
+    def poll_after(self, silence):
+        """Advance the clock in silence, poll once; tell if it has claimed."""
         self.clock.advance(silence)
         if self.watcher._is_our_turn():
             self.watcher._take_over()
         return bool(self.claims)
 
 
-def answer(hears):
+def make_answer(hears):
     """Return a member's answer."""
     return messages.OwnerAnswer(1, hears)
 
 
 def make_answers(hears, *names):
-    """Return the same answer of some members."""
+    """Return a map with the same answer from several members."""
     others = [vm.name for vm in VMS if vm.name not in ('vm-00', FIRST)]
-    return {name: answer(hears) for name in names or others}
+    return {name: make_answer(hears) for name in names or others}
 
 
-def test_first_in_line_follows_a_silent_owner(case):
-    bench = Bench(make_answers(False))
-    case.assertFalse(bench.look(LIMITS.takeover - 0.1))
-    case.assertTrue(bench.look(0.2))
+def test_first_in_line_takes_over_from_a_silent_owner(case):
+    bench = WatcherBench(make_answers(False))
+    case.assertFalse(bench.poll_after(LIMITS.takeover - 0.1))
+    case.assertTrue(bench.poll_after(0.2))
     case.assertTrue(bench.claims[0].is_ok())
 
 
-def lose_owner(bench):
-    """Hear the owner for a while, and then its connection's end."""
+def end_owner_connection(bench):
+    """Hear the owner again after a while, then end its connection."""
     bench.clock.advance(10 * LIMITS.takeover)
     bench.guard.accept_owner(1, 'vm-00')
     bench.guard.note_lost()
 
 
-def test_owner_whose_connection_ended_is_not_waited_for_as_long(case):
-    bench = Bench(make_answers(False))
-    lose_owner(bench)
-    case.assertFalse(bench.look(guard.REDIAL_SECONDS - 0.1))
-    case.assertTrue(bench.look(0.2))
+def test_ended_connection_shortens_the_wait(case):
+    bench = WatcherBench(make_answers(False))
+    end_owner_connection(bench)
+    case.assertFalse(bench.poll_after(guard.REDIAL_SECONDS - 0.1))
+    case.assertTrue(bench.poll_after(0.2))
 
 
-def test_owner_that_dials_again_is_followed_on(case):
-    bench = Bench(make_answers(False))
-    lose_owner(bench)
+def test_owner_that_redials_is_kept(case):
+    bench = WatcherBench(make_answers(False))
+    end_owner_connection(bench)
     bench.clock.advance(guard.REDIAL_SECONDS - 0.1)
     bench.guard.accept_owner(1, 'vm-00')
-    case.assertFalse(bench.look(LIMITS.takeover - 0.2))
+    case.assertFalse(bench.poll_after(LIMITS.takeover - 0.2))
 
 
-def test_side_that_is_cut_off_alone_leaves_the_shard(case):
-    bench = Bench(make_answers(True))
-    case.assertFalse(bench.look(LIMITS.takeover + 0.1))
+def test_side_that_is_cut_off_alone_does_not_take_over(case):
+    bench = WatcherBench(make_answers(True))
+    case.assertFalse(bench.poll_after(LIMITS.takeover + 0.1))
 
 
 def test_minority_waits_much_longer(case):
-    bench = Bench({})
-    case.assertFalse(bench.look(LIMITS.takeover + 0.1))
-    lonely = LIMITS.takeover * takeover.ISOLATED_FACTOR
-    case.assertTrue(bench.look(lonely))
+    bench = WatcherBench({})
+    case.assertFalse(bench.poll_after(LIMITS.takeover + 0.1))
+    isolated_wait = LIMITS.takeover * takeover.ISOLATED_FACTOR
+    case.assertTrue(bench.poll_after(isolated_wait))
 
 
-def test_paused_members_are_not_waited_for(case):
+def test_queries_of_paused_members_time_out(case):
     answers = make_answers(False)
     paused = next(iter(answers))
     answers[paused] = None
-    bench = Bench(answers)
-    case.assertTrue(bench.look(LIMITS.takeover + 0.1))
+    bench = WatcherBench(answers)
+    case.assertTrue(bench.poll_after(LIMITS.takeover + 0.1))
     for conn in bench.conns:
         case.assertEqual(max(conn.idle[-1:]), takeover.QUERY_TIMEOUT_SECONDS)
 
 
-def test_owner_that_is_heard_while_asking_is_followed(case):
-    """Before, each that had asked took the shard from the one before."""
-    bench = Bench(make_answers(False))
+def test_owner_heard_during_the_query_stops_the_takeover(case):
+    """Otherwise sides take the shard from each other in turn."""
+    bench = WatcherBench(make_answers(False))
 
-    def be_taken():
+    def answer_after_takeover():
         bench.guard.accept_owner(2, 'vm-03')
-        return answer(False)
+        return make_answer(False)
 
-    bench.answers[next(iter(bench.answers))] = be_taken
-    case.assertFalse(bench.look(LIMITS.takeover + 0.1))
+    bench.answers[next(iter(bench.answers))] = answer_after_takeover
+    case.assertFalse(bench.poll_after(LIMITS.takeover + 0.1))
 
 
-class RestartedBench(Bench):
-    """A watcher on the first of all in line, whose process has restarted."""
+class RestartedWatcherBench(WatcherBench):
+    """A watcher on the first VM of all, whose process has restarted."""
 
     def __init__(self, answers):
-        """Take a map of member to answer."""
+        """Take a map of member name to answer."""
         super().__init__(answers)
         first = ids.rank_by_rendezvous('0', [vm.name for vm in VMS])[0]
         self.guard = guard.Guard(self.clock, LIMITS)
@@ -180,58 +180,63 @@
         self.watcher._env.name = first
         self.watcher._load_members()
 
-    def look_at_once(self):
-        """Look before any silence could be too long."""
+    def poll_at_once(self):
+        """Poll before any silence is long enough; tell if it has claimed."""
         if self.watcher._is_first_after_restart():
             self.watcher._take_over_all_restarted()
         return bool(self.claims)
 
 
-def unheard(*, but=()):
-    """Return the answers of all others, that no owner was heard."""
+def make_unheard_answers(*, heard_by=()):
+    """Return the answers of members that have heard no owner.
+
+    :param heard_by: names of the members that have heard one
+    """
     return {
-        vm.name: messages.OwnerAnswer(1, False, False, vm.name not in but)
+        vm.name: messages.OwnerAnswer(1, False, False, vm.name not in heard_by)
         for vm in VMS
     }
 
 
-def test_after_power_loss_everywhere_nobody_is_waited_for(case):
-    bench = RestartedBench(unheard())
-    case.assertTrue(bench.look_at_once())
+def test_takeover_is_immediate_after_a_full_restart(case):
+    bench = RestartedWatcherBench(make_unheard_answers())
+    case.assertTrue(bench.poll_at_once())
     case.assertTrue(bench.claims[0].is_ok())
 
 
-def test_one_that_heard_an_owner_since_is_enough_to_wait(case):
+def test_one_member_that_heard_an_owner_delays_the_takeover(case):
     for one in VMS:
-        bench = RestartedBench(unheard(but=[one.name]))
-        mine = one.name == bench.watcher._env.name
-        case.assertEqual(bench.look_at_once(), mine)
+        bench = RestartedWatcherBench(
+            make_unheard_answers(heard_by=[one.name])
+        )
+        is_own = one.name == bench.watcher._env.name
+        case.assertEqual(bench.poll_at_once(), is_own)
 
 
-def test_member_that_does_not_answer_may_hear_an_owner(case):
-    bench = RestartedBench(unheard())
+def test_unanswered_query_delays_the_takeover(case):
+    bench = RestartedWatcherBench(make_unheard_answers())
     others = [vm.name for vm in VMS if vm.name != bench.watcher._env.name]
     for missing in others:
-        answers = unheard()
+        answers = make_unheard_answers()
         del answers[missing]
-        case.assertFalse(RestartedBench(answers).look_at_once())
+        case.assertFalse(RestartedWatcherBench(answers).poll_at_once())
 
 
-def test_living_owner_is_the_only_one_that_is_asked(case):
-    answers = unheard(but=['vm-00'])
-    bench = RestartedBench(answers)
-    case.assertFalse(bench.look_at_once())
+def test_live_former_owner_is_the_only_one_queried(case):
+    answers = make_unheard_answers(heard_by=['vm-00'])
+    bench = RestartedWatcherBench(answers)
+    case.assertFalse(bench.poll_at_once())
     case.assertEqual(len(bench.conns), 1)
 
 
-def test_only_the_first_in_line_asks_at_once(case):
-    bench = RestartedBench(unheard())
+def test_only_the_first_in_line_queries_at_once(case):
+    bench = RestartedWatcherBench(make_unheard_answers())
     last = ids.rank_by_rendezvous('0', [vm.name for vm in VMS])[-1]
     bench.watcher._env.name = last
-    case.assertFalse(bench.look_at_once())
+    case.assertFalse(bench.poll_at_once())
 
 
-def test_side_that_has_heard_an_owner_waits_as_long_as_ever(case):
-    bench = RestartedBench(unheard())
+def test_side_that_has_heard_an_owner_waits_for_silence(case):
+    bench = RestartedWatcherBench(make_unheard_answers())
     bench.guard.accept_owner(1, 'vm-00')
-    case.assertFalse(bench.look_at_once())
+    case.assertFalse(bench.poll_at_once())
--- a/packages/scheduler/portwharf/scheduler/zones_test.py
+++ b/packages/scheduler/portwharf/scheduler/zones_test.py
@@ -1,9 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Nothing begins in a closed availability zone, by whichever way it would.
+"""No task starts in a closed availability zone, whatever the path.
 
-Zones have one VM each on the stepped cluster, which checks after every step
-that nothing began where a zone had been closed for long.
+Each VM of the stepped cluster is in a zone of its own. After every step, the
+cluster checks that nothing started in a zone that has been closed for some
+time.
 """
 
 from unittest import mock
@@ -21,18 +22,18 @@
 from portwharf.testing import fixtures
 
 CLOSED = 'zone-1'
-LONG = 8.0
+LONG_WAIT_SECONDS = 8.0
 
 
 def make_cluster(size=3):
-    """Return a cluster whose owner is not in the zone that is closed."""
+    """Return a cluster whose owner is not in the zone to be closed."""
     made = cluster.Cluster(size)
     made.run(4)
     return made
 
 
 def list_running(made, number):
-    """Return the tasks that run on a VM, by its number."""
+    """Return the tasks that run on a VM, given by its number."""
     runs = made.nodes[number].worker.runs
     return sorted(run.attempt.task for run in runs if run.running)
 
@@ -43,7 +44,7 @@
 
 
 def explain(made, workload_id):
-    """Return the reasons for which VMs were refused to a workload."""
+    """Return how many VMs were refused to a workload, by reason."""
     owner = made.list_owners()[0].owner
     waiting = owner._decider.waiting[workload_id]
     return {one.name: one.number for one in waiting.choice.list_refusals()}
@@ -52,45 +53,45 @@
 def test_work_goes_to_other_zones(case):
     made = make_cluster()
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.submit(6)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [2, 0, 2])
 
 
-def test_what_runs_goes_on(case):
+def test_running_tasks_go_on(case):
     made = make_cluster()
     made.submit(6)
     made.run(4)
     before = list_running(made, 1)
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(list_running(made, 1), before)
     case.assertEqual(len(before), 2)
 
 
-def test_lasting_task_that_ends_there_begins_elsewhere(case):
+def test_lasting_task_that_ends_is_not_restarted_there(case):
     made = make_cluster()
     lasting = jobs_test.make_step(3, kind=data.Kind.STANDING, most_per_vm=1)
     made.submit_job(jobs_test.make_job(lasting))
     made.run(4)
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [1, 1, 1])
     (task,) = list_running(made, 1)
     made.nodes[1].worker.finish(task, data.RunState.FAILED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [1, 0, 1])
     made.open_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [1, 1, 1])
 
 
-def test_zone_that_is_taken_back_is_used_at_once(case):
+def test_reopened_zone_is_used_at_once(case):
     made = make_cluster()
     made.close_zone(CLOSED)
     made.submit(6)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.open_zone(CLOSED)
     made.run(3)
     case.assertEqual(count_running(made), [2, 2, 2])
@@ -99,23 +100,23 @@
 def test_zone_closed_again_within_a_second_is_closed(case):
     made = make_cluster()
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.open_zone(CLOSED)
     made.tick(0.2)
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.submit(6)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [2, 0, 2])
 
 
-def test_key_that_is_written_again_closes_nothing_else(case):
+def test_rewritten_key_changes_nothing(case):
     made = make_cluster()
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.standin.put(zones.PREFIX + CLOSED, b'\xff not to be read')
     made.submit(6)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [2, 0, 2])
 
 
@@ -123,7 +124,7 @@
     made = make_cluster()
     made.close_zone('zone-of-nobody')
     made.close_zone('')
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.submit(6)
     made.run(4)
     case.assertEqual(count_running(made), [2, 2, 2])
@@ -133,9 +134,9 @@
     made = make_cluster()
     for number in range(3):
         made.close_zone(f'zone-{number}')
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     accepted = made.submit(3)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
     reasons = explain(made, accepted.value.id)
     case.assertEqual(reasons, {messages.REFUSED_ZONE: 3})
@@ -144,13 +145,13 @@
     case.assertEqual(count_running(made), [0, 0, 2])
 
 
-def test_step_whose_only_label_lies_there_waits_and_says_so(case):
+def test_step_that_needs_a_label_there_waits_with_a_reason(case):
     made = make_cluster()
     for number, node in enumerate(made.nodes):
         node.worker.labels = ['lens'] if number == 1 else []
     made.run(2)
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     job = jobs_test.make_job(jobs_test.make_step(1, label='lens'))
     made.submit_job(job)
     made.run(4)
@@ -165,21 +166,21 @@
 def test_gang_is_not_begun_in_part(case):
     made = make_cluster()
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     gang = jobs_test.make_step(6, gang=True)
     made.submit_job(jobs_test.make_job(gang))
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
     made.open_zone(CLOSED)
     made.run(4)
     case.assertEqual(count_running(made), [2, 2, 2])
 
 
-def test_start_that_was_under_way_is_refused_by_the_side(case):
-    """Decided and logged before, delivered after.
+def test_start_in_flight_is_refused_by_the_side(case):
+    """The start is decided and logged before the zone is closed.
 
-    Order of events: an owner places a task, and its message is held up until
-    the zone is closed; the owner has not heard of that yet, the side has.
+    Its message is delivered after, when the side knows of the closed zone and
+    the owner does not.
     """
     made = make_cluster()
     for node in (made.nodes[0], made.nodes[2]):
@@ -194,14 +195,14 @@
     )
     made.close_zone(CLOSED)
     made.nodes[1].zones.look(made.nodes[1].kv)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
     made.nodes[2].worker.resize(2000)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 1])
 
 
-def test_start_that_is_made_up_for_is_refused(case):
+def test_repeated_start_is_refused(case):
     made = make_cluster()
     made.nodes[0].worker.resize(0)
     made.nodes[2].worker.resize(0)
@@ -212,12 +213,12 @@
     owner._members.get_link('vm-01').pipe.to_side.clear()
     made.break_pipes(made.nodes[1])
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
 
 
 def test_new_owner_places_nothing_there(case):
-    """Its own side was told of nothing before it took over."""
+    """The side of the new owner was not told before the takeover."""
     made = make_cluster()
     made.isolate(made.nodes[0])
     made.close_zone(CLOSED)
@@ -225,12 +226,12 @@
     made.nodes[2].claim()
     case.assertFalse(made.nodes[2].zones.is_closed(CLOSED))
     made.submit(6)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(list_running(made, 1), [])
     case.assertEqual(len(list_running(made, 2)), 2)
 
 
-def test_new_owner_does_not_go_by_what_its_side_knew(case):
+def test_new_owner_reads_the_zones_itself(case):
     made = make_cluster()
     node = made.nodes[2]
     node.zones.look(node.kv)
@@ -241,19 +242,19 @@
     case.assertFalse(node.owner._members.knows_zones(node.owner.read_clock()))
 
 
-def test_new_side_refuses_by_its_own_sight(case):
+def test_restarted_side_reads_the_zones_itself(case):
     made = make_cluster()
     made.close_zone(CLOSED)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     made.restart_side(made.nodes[1])
     made.submit(6)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [2, 0, 2])
     case.assertTrue(made.nodes[1].zones.is_closed(CLOSED))
 
 
-def test_append_that_waited_out_an_outage_starts_nothing_there(case):
-    """A zone is closed in the moment in which the store is back."""
+def test_append_delayed_by_an_outage_starts_nothing_there(case):
+    """The zone is closed at the moment that the store is back."""
     made = make_cluster()
     made.nodes[0].worker.resize(0)
     made.nodes[2].worker.resize(0)
@@ -263,7 +264,7 @@
     made.run(4)
     made.standin.faults.down = False
     made.standin.put(zones.PREFIX + CLOSED, b'')
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
 
 
@@ -298,7 +299,7 @@
     node.zones.look = lambda kv: False
     made.run(4)
     made.submit(1)
-    made.run(LONG)
+    made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
 
 
@@ -327,17 +328,17 @@
     case.assertFalse(keeper.is_closed(CLOSED))
 
 
-def test_followers_hear_of_changes_alone(case):
+def test_listeners_are_called_on_changes_only(case):
     keeper = zones.ZoneKeeper(clock.ManualClock())
-    heard = []
-    keeper.follow(lambda: heard.append(keeper.read().names))
+    calls = []
+    keeper.follow(lambda: calls.append(keeper.read().names))
     keeper.offer(5, [])
     keeper.offer(6, [CLOSED])
     keeper.offer(9, [CLOSED])
-    case.assertEqual(heard, [frozenset((CLOSED,))])
+    case.assertEqual(calls, [frozenset((CLOSED,))])
 
 
-def test_watch_sees_what_is_written_and_what_goes(case):
+def test_watch_sees_created_and_deleted_keys(case):
     kv, standin = etcd_test.open_served(case)
     keeper = zones.ZoneKeeper(clock.ManualClock())
     case.assertTrue(keeper.look(kv))
@@ -362,7 +363,7 @@
     case.assertFalse(keeper.is_known_since(now.read_monotonic() - 1.0))
 
 
-def test_watch_that_waited_makes_no_reading_older(case):
+def test_slow_watch_does_not_lower_the_read_time(case):
     kv, standin = fixtures.make_store()
     now = clock.ManualClock()
     keeper = zones.ZoneKeeper(now)
@@ -378,7 +379,7 @@
     case.assertTrue(keeper.is_known_since(now.read_monotonic()))
 
 
-def test_what_somebody_writes_there_is_bounded(case):
+def test_names_from_the_store_are_bounded(case):
     keeper = zones.ZoneKeeper(clock.ManualClock())
     keeper.offer(1, ['x' * 1000] + [str(n) for n in range(5000)])
     names = keeper.read().names
@@ -386,17 +387,17 @@
     case.assertEqual(max(len(name) for name in names), zones.MAX_NAME)
 
 
-def test_side_that_does_not_look_is_caught(case):
+def test_fault_side_ignores_the_zones(case):
     faults_test.check(
         case,
-        test_start_that_was_under_way_is_refused_by_the_side,
+        test_start_in_flight_is_refused_by_the_side,
         agent.Agent,
         '_check_start',
-        _forget_zone(agent.Agent._check_start),
+        _ignore_zone(agent.Agent._check_start),
     )
 
 
-def test_owner_that_does_not_look_is_caught(case):
+def test_fault_owner_ignores_the_zones(case):
     faults_test.check(
         case,
         test_all_zones_may_be_closed,
@@ -406,18 +407,18 @@
     )
 
 
-def test_owner_that_goes_by_its_side_is_caught(case):
+def test_fault_new_owner_does_not_read_the_zones(case):
     faults_test.check(
         case,
-        test_new_owner_does_not_go_by_what_its_side_knew,
+        test_new_owner_reads_the_zones_itself,
         membership.Membership,
         'knows_zones',
         lambda self, now: True,
     )
 
 
-def _forget_zone(original):
-    """Return the check of a start without that of its zone."""
+def _ignore_zone(original):
+    """Return a check of starts that skips the check of the zone."""
 
     def check_start(self, message, known):
         self.is_zone_closed = lambda: False
