--- a/packages/testing/portwharf/testing/bench_decisions.py
+++ b/packages/testing/portwharf/testing/bench_decisions.py
@@ -1,17 +1,15 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""``make bench-decisions``: the decision code on a virtual clock.
-
-Placement, the learnt interference and the remedies are the real ones; the
-fake is a set of VMs on which batch work slows services by amounts that no
-policy but the oracle knows, that grow with load and shift half way. What is
-measured comes late and noisy; sizes and run times are declared wrongly; jobs
-come in waves, some workers fail for a time, some jobs are cancelled.
-
-Policies run beside each other on the same seeds: first fit, best fit by
-declared size, spread without learning, whole VMs reserved for services,
-ours, ours with parts switched off, and ours with the truth in place of the
-model (the oracle).
+"""Benchmarks of scheduling decisions (``make bench-decisions``).
+
+Runs the production code for placement, learnt interference and remedies on
+the simulated VMs of :mod:`portwharf.testing.decision_world`, on a virtual
+clock. Measurements arrive late and with noise, and jobs come in waves.
+
+Policies are compared on the same seeds: first fit, best fit by declared
+size, spread without learning, whole VMs reserved for services, portwharf,
+portwharf with single parts switched off, and portwharf with the true
+interference in place of the learnt model (the oracle).
 """
 
 import argparse
@@ -34,18 +32,18 @@
 from portwharf.testing import fixtures
 
 SEEDS = 20
-LAG = 8
-SPREAD = 0.5
+LAG_SECONDS = 8
+LOG_SIGMA = 0.5
 TARGET_SECONDS = 0.24
-_MEASURE_EVERY = 2
-_THROTTLED = remedies.THROTTLE_PERCENT / 100
-_VM_SIZE = data.Resources(16_000, 60_000)
-_REPLICA = data.Resources(4_000, 8_000)
+_MEASURE_INTERVAL_SECONDS = 2
+_THROTTLED_SPEED = remedies.THROTTLE_PERCENT / 100
+_VM_CAPACITY = data.Resources(16_000, 60_000)
+_REPLICA_SIZE = data.Resources(4_000, 8_000)
 
 
 @dataclasses.dataclass(slots=True)
 class Policy:
-    """Which parts of the decisions are on.
+    """Which parts of the decision code are enabled.
 
     :param choose: ``ours``, ``first``, ``best`` or ``spread``
     """
@@ -62,10 +60,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Score:
-    """What came of one run.
+    """Results of one run.
 
-    :param in_target: share of the services' time-weighted requests
-    :param work: seconds of batch work that was not lost
+    :param in_target: share of the services' requests within the target,
+        weighted by load
+    :param work: seconds of batch work in completed tasks
+    :param broken: number of times that a VM was over its capacity
     """
 
     in_target: float = 0.0
@@ -75,14 +75,14 @@
 
 
 class Run:
-    """One policy in one world."""
+    """Simulates one policy in one world."""
 
     def __init__(self, policy, seed, weights):
         self.policy = policy
         self.world = decision_world.World(seed)
         model = interference.Model()
         if policy.oracle:
-            model = decision_world.Truth(self.world)
+            model = decision_world.OracleModel(self.world)
         self.model = model
         self.remedies = remedies.Remedies(model)
         self.remedies.set_weights(weights)
@@ -92,40 +92,40 @@
         self.timeline = interference.Timeline()
         self.waiting = []
         self.running = collections.defaultdict(list)
-        self.late = collections.deque()
+        self.undelivered = collections.deque()
         self.score = Score()
-        self.good = 0.0
-        self.total = 0.0
+        self.requests_in_target = 0.0
+        self.requests = 0.0
 
     def run(self):
-        """Run to the end; returns a :class:`Score`."""
-        for now in range(decision_world.SECONDS):
-            if now == decision_world.SECONDS // 2:
-                self.world.shift()
+        """Run the whole simulation; returns a :class:`Score`."""
+        for now in range(decision_world.DURATION_SECONDS):
+            if now == decision_world.DURATION_SECONDS // 2:
+                self.world.change_interference()
             self.waiting += self.world.arrivals.get(now, [])
             self.waiting = [
                 t for t in self.waiting if not (t.cancelled and t.evictions)
             ]
-            self._work(now)
-            self._measure(now)
-            if now % _MEASURE_EVERY == 0:
-                self._learn(now)
-                self._place(now)
+            self._advance_tasks(now)
+            self._measure_services(now)
+            if now % _MEASURE_INTERVAL_SECONDS == 0:
+                self._deliver_measurements(now)
+                self._place_waiting(now)
                 if self.policy.choose == 'ours':
-                    self._remedy(now)
-        self.score.in_target = self.good / self.total
+                    self._apply_remedies(now)
+        self.score.in_target = self.requests_in_target / self.requests
         return self.score
 
-    def _work(self, now):
-        """Let batch work go on for a second."""
+    def _advance_tasks(self, now):
+        """Advance batch tasks by one second."""
         for vm, tasks in self.running.items():
             for task in list(tasks):
-                done = _THROTTLED if task.throttled else 1.0
-                failing = self.world.failing.get(vm)
-                if failing and failing[0] <= now < failing[1]:
+                speed = _THROTTLED_SPEED if task.throttled else 1.0
+                outage = self.world.outages.get(vm)
+                if outage and outage[0] <= now < outage[1]:
                     self._requeue(task, now)
                     continue
-                task.left -= done
+                task.left -= speed
                 if task.left <= 0:
                     tasks.remove(task)
                     self.score.work += task.whole
@@ -156,44 +156,52 @@
             for task in self.running[vm]
         ]
 
-    def _measure(self, now):
-        """Score the services, and send measurements on their late way."""
+    def _measure_services(self, now):
+        """Score the services, and queue their measurements for later."""
         for vm, service in self.world.replicas.items():
-            load = self.world.read_load(service, now)
+            load = self.world.get_load(service, now)
             kinds = self._count_kinds(vm)
-            mean = math.exp(self.world.read_log_time(service, load, kinds))
-            self.good += load * share_in_target(mean)
-            self.total += load
+            mean_seconds = math.exp(
+                self.world.get_log_seconds(service, load, kinds)
+            )
+            self.requests_in_target += load * share_in_target(mean_seconds)
+            self.requests += load
             self.timeline.note(vm, kinds, now)
-            if now % _MEASURE_EVERY == 0:
-                noise = self.world.random.gauss(0, 0.1)
-                lag = LAG + self.world.random.randint(0, 4)
-                row = (now + lag, now, vm, load, mean * math.exp(noise))
-                self.late.append(row)
-
-    def _learn(self, now):
-        rest = collections.deque()
-        while self.late:
-            row = self.late.popleft()
-            arrives, taken, vm, load, seconds = row
-            if arrives > now:
-                rest.append(row)
+            if now % _MEASURE_INTERVAL_SECONDS == 0:
+                log_noise = self.world.random.gauss(0, 0.1)
+                delay = LAG_SECONDS + self.world.random.randint(0, 4)
+                row = (
+                    now + delay,
+                    now,
+                    vm,
+                    load,
+                    mean_seconds * math.exp(log_noise),
+                )
+                self.undelivered.append(row)
+
+    def _deliver_measurements(self, now):
+        remaining = collections.deque()
+        while self.undelivered:
+            row = self.undelivered.popleft()
+            arrives_at, measured_at, vm, load, seconds = row
+            if arrives_at > now:
+                remaining.append(row)
                 continue
             service = self.world.replicas[vm]
-            kinds = self.timeline.find(vm, taken)
+            kinds = self.timeline.find(vm, measured_at)
             if kinds is not None and self.policy.learn:
                 self.model.observe(service, load, kinds, seconds)
             self.remedies.note_measured(vm, service, seconds, TARGET_SECONDS)
-        self.late = rest
+        self.undelivered = remaining
 
     def _list_views(self, now):
         views = []
         for number in range(decision_world.VMS):
             vm = fixtures.make_vm(number)
-            view = vmview.VmView(vm, _VM_SIZE)
+            view = vmview.VmView(vm, _VM_CAPACITY)
             service = self.world.replicas.get(vm.name)
             if service:
-                view.reserved = _REPLICA
+                view.reserved = _REPLICA_SIZE
                 if self.policy.whole_vms:
                     view.closed = 'reserved'
             for task in self.running[vm.name]:
@@ -209,30 +217,30 @@
         service = self.world.replicas.get(vm)
         if service is None:
             return []
-        # The load that is known is that of the last measurement.
-        lag = 0 if self.policy.oracle else LAG
-        load = self.world.read_load(service, max(0, now - lag))
+        # Except for the oracle, the load is known from late measurements only.
+        lag = 0 if self.policy.oracle else LAG_SECONDS
+        load = self.world.get_load(service, max(0, now - lag))
         peak = self.peaks.note(vm, load, now)
         return [remedies.ServiceView(service, load, peak, TARGET_SECONDS)]
 
-    def _place(self, now):
+    def _place_waiting(self, now):
         if not self.waiting:
             return
         views = self._list_views(now)
         if self.policy.choose == 'ours':
             self._place_ours(views, now)
         else:
-            self._place_simply(views, now)
+            self._place_by_baseline(views, now)
 
     def _place_ours(self, views, now):
         tasks = {task.name: task for task in self.waiting}
         demands = [self._make_demand(task) for task in self.waiting]
         judge = self.remedies.judge if self.policy.judge else None
-        done = placement.place_demands(
+        planned = placement.place_demands(
             demands, views, backlog.Quotas({}, {}), now * 1000, judge
         )
-        for placed in done.placements:
-            self._begin(tasks[placed.task], placed.vm, now)
+        for placed in planned.placements:
+            self._start_task(tasks[placed.task], placed.vm, now)
 
     def _make_demand(self, task):
         team, _, program = task.kind.partition('/')
@@ -246,7 +254,7 @@
         record = state.WorkloadRecord(name, name, 0, workload)
         return backlog.Demand(record)
 
-    def _place_simply(self, views, now):
+    def _place_by_baseline(self, views, now):
         for task in list(self.waiting):
             fitting = [view for view in views if _fits(task, view)]
             if not fitting:
@@ -258,15 +266,15 @@
             else:
                 view = fitting[0]
             view.reserved = view.reserved.add(task.size)
-            self._begin(task, view.vm.name, now)
+            self._start_task(task, view.vm.name, now)
 
-    def _begin(self, task, vm, now):
+    def _start_task(self, task, vm, now):
         self.waiting.remove(task)
         task.vm = vm
         task.began = now
         self.running[vm].append(task)
 
-    def _remedy(self, now):
+    def _apply_remedies(self, now):
         for vm in self.world.replicas:
             services = self._list_services(vm, now)
             neighbours = self._list_neighbours(vm, now)
@@ -276,9 +284,9 @@
                     vm, services, neighbours, now
                 )
             if action is not None:
-                self._act(action, now)
+                self._apply_action(action, now)
 
-    def _act(self, action, now):
+    def _apply_action(self, action, now):
         task = next(
             t for t in self.running[action.vm] if t.name == action.task
         )
@@ -295,10 +303,10 @@
     return not view.closed and task.size.fits(view.room)
 
 
-def share_in_target(mean):
-    """Return the share of lognormal times of a mean within the target."""
-    median = mean / math.exp(SPREAD**2 / 2)
-    z = math.log(TARGET_SECONDS / median) / SPREAD
+def share_in_target(mean_seconds):
+    """Return the share of lognormal times with a given mean in target."""
+    median_seconds = mean_seconds / math.exp(LOG_SIGMA**2 / 2)
+    z = math.log(TARGET_SECONDS / median_seconds) / LOG_SIGMA
     return 0.5 * (1 + math.erf(z / math.sqrt(2)))
 
 
@@ -322,12 +330,12 @@
 
 
 def run_one(name, seed, weights):
-    """Run one policy on one seed."""
+    """Run one policy on one seed; returns its :class:`Score`."""
     return Run(POLICIES[name], seed, weights).run()
 
 
 def run_all(seeds, weights):
-    """Return the scores of all policies: map of name to list of Score."""
+    """Run all policies; returns a map of name to list of :class:`Score`."""
     with concurrent.futures.ProcessPoolExecutor() as pool:
         futs = {
             name: [pool.submit(run_one, name, seed, weights) for seed in seeds]
@@ -339,22 +347,22 @@
 
 
 def main():
-    """Run all, print a table, and check the bounds."""
+    """Run all policies, print a table for each deployment, check bounds."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--seeds', type=int, default=SEEDS)
     parser.add_argument('--first', type=int, default=0)
     arguments = parser.parse_args()
     seeds = range(arguments.first, arguments.first + arguments.seeds)
-    good = [
+    passed = [
         compare(name, weights, seeds) for name, weights in DEPLOYMENTS.items()
     ]
-    return 0 if all(good) else 1
+    return 0 if all(passed) else 1
 
 
 def compare(name, weights, seeds):
     """Run all policies with a deployment's weights, and print a table.
 
-    :returns: whether the bounds are kept
+    :returns: whether all bounds hold
     """
     print(f'{name}: {weights}')
     scores = run_all(seeds, weights)
@@ -362,18 +370,24 @@
         f'{"policy":20} {"in target":>10} {"worst":>8} {"batch h":>9} '
         f'{"evictions":>10} {"over":>5}'
     )
-    rows = {name: _summarize(found) for name, found in scores.items()}
+    rows = {
+        name: _summarize(policy_scores)
+        for name, policy_scores in scores.items()
+    }
     for name, row in rows.items():
         print(
             f'{name:20} {row.in_target:10.2%} {row.worst:8.2%} '
             f'{row.hours:9.2f} {row.evictions:10.1f} {row.broken:5d}'
         )
-    return _check(rows)
+    return _check_bounds(rows)
 
 
 @dataclasses.dataclass(slots=True)
 class Row:
-    """Medians over the seeds, and the worst share in target."""
+    """Medians over the seeds, and the lowest share in target.
+
+    :param broken: sum over the seeds
+    """
 
     in_target: float = 0.0
     worst: float = 0.0
@@ -382,29 +396,29 @@
     broken: int = 0
 
 
-def _summarize(found):
+def _summarize(scores):
     return Row(
-        statistics.median(one.in_target for one in found),
-        min(one.in_target for one in found),
-        statistics.median(one.work for one in found) / 3600,
-        statistics.median(one.evictions for one in found),
-        sum(one.broken for one in found),
+        statistics.median(score.in_target for score in scores),
+        min(score.in_target for score in scores),
+        statistics.median(score.work for score in scores) / 3600,
+        statistics.median(score.evictions for score in scores),
+        sum(score.broken for score in scores),
     )
 
 
-def _check(rows):
-    ours, oracle, whole = (
+def _check_bounds(rows):
+    ours, oracle, whole_vms = (
         rows[name] for name in ('portwharf', 'oracle', 'whole VMs')
     )
     checks = [
-        ('in target', ours.in_target >= whole.in_target - 0.01),
+        ('in target', ours.in_target >= whole_vms.in_target - 0.01),
         ('batch to oracle', ours.hours >= 0.85 * oracle.hours),
         ('evictions', ours.evictions <= max(1.0, 1.3 * oracle.evictions)),
         ('capacity', not any(row.broken for row in rows.values())),
     ]
-    for name, good in checks:
-        print(f'  {name}: {"good" if good else "MISSED"}')
-    return all(good for _, good in checks)
+    for name, holds in checks:
+        print(f'  {name}: {"good" if holds else "MISSED"}')
+    return all(holds for _, holds in checks)
 
 
 if __name__ == '__main__':
--- a/packages/testing/portwharf/testing/decision_world.py
+++ b/packages/testing/portwharf/testing/decision_world.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The world of ``make bench-decisions``: what is true, and when work comes.
+"""The simulated VMs, services and jobs of ``make bench-decisions``.
 
-A set of VMs on which batch work slows services by amounts that no policy but
-the oracle knows, that grow with load and shift half way; jobs in waves; one
-worker that fails for a time.
+Batch tasks slow the services on their VM by amounts that only the oracle
+policy knows. The amounts grow with load, and some change half way. Jobs
+arrive in waves over a steady flow, and one worker fails for a time.
 """
 
 import collections
@@ -15,15 +15,19 @@
 from portwharf.core import data
 from portwharf.scheduler.decisions import interference
 
-SECONDS = 2400
+DURATION_SECONDS = 2400
 VMS = 11
 KINDS = 6
-BASE_SECONDS = 0.05
+IDLE_SECONDS = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class Task:
-    """A batch task of the fake."""
+    """A simulated batch task.
+
+    :param left: seconds of work that remain
+    :param whole: seconds of work in all
+    """
 
     name: str = ''
     kind: str = ''
@@ -41,7 +45,7 @@
 
 
 class World:
-    """What is true, and what is measured of it."""
+    """True loads, interference and arrivals of one simulation."""
 
     def __init__(self, seed):
         rnd = random.Random(seed)
@@ -59,15 +63,18 @@
             name: self.services[number % 2]
             for number, name in enumerate(names[:7])
         }
-        self.bursts = sorted(rnd.sample(range(100, SECONDS), 6))
+        self.bursts = sorted(rnd.sample(range(100, DURATION_SECONDS), 6))
         self.arrivals = self._make_arrivals(rnd)
-        self.failing = {rnd.choice(names): (600, 900)}
+        self.outages = {rnd.choice(names): (600, 900)}
 
     def _make_arrivals(self, rnd):
-        """Return jobs by arrival: waves over a steady flow."""
+        """Return a map of arrival second to tasks."""
         arrivals = collections.defaultdict(list)
         waves = [(when, rnd.randint(120, 200)) for when in (60, 800, 1500)]
-        waves += [(when, rnd.randint(6, 14)) for when in range(0, SECONDS, 20)]
+        waves += [
+            (when, rnd.randint(6, 14))
+            for when in range(0, DURATION_SECONDS, 20)
+        ]
         for when, count in waves:
             kind = rnd.choice(self.kinds)
             for _ in range(count):
@@ -85,40 +92,43 @@
                 arrivals[when].append(task)
         return arrivals
 
-    def shift(self):
-        """Half way, two pairs change."""
+    def change_interference(self):
+        """Change the interference of two pairs of service and kind."""
         for pair in self.random.sample(sorted(self.pairs), 2):
             self.pairs[pair] = self.random.choice((0.01, 0.2, 0.3))
 
-    def read_load(self, service, now):
-        """Return a service's load at a time."""
+    def get_load(self, service, now):
+        """Return a service's load at a time, as a share of its capacity."""
         wave = 0.5 + 0.3 * math.sin(now / 300 + self.phases[service])
         burst = any(0 <= now - when < 60 for when in self.bursts)
         return min(0.98, wave + 0.25 * burst)
 
-    def read_log_time(self, service, load, kinds):
-        """Return the logarithm of a service's true mean time."""
-        total = math.log(BASE_SECONDS) + 0.6 * load
+    def get_log_seconds(self, service, load, kinds):
+        """Return the logarithm of a service's true mean seconds a request.
+
+        :param kinds: map of kind to number of tasks on the same VM
+        """
+        log_seconds = math.log(IDLE_SECONDS) + 0.6 * load
         for kind, count in kinds.items():
-            pair = self.pairs[(service, kind)]
-            total += pair * count * (0.25 + load)
-        return total
+            weight = self.pairs[(service, kind)]
+            log_seconds += weight * count * (0.25 + load)
+        return log_seconds
 
 
-class Truth:
-    """The oracle's model: knows everything, and without a lag."""
+class OracleModel:
+    """The oracle's model, which predicts from the true interference."""
 
     def __init__(self, world):
         self._world = world
 
     def predict(self, service, load, kinds):
-        """Return the true time."""
-        logs = self._world.read_log_time(service, load, kinds)
-        return interference.Estimate(logs, 0.0)
+        """Return the true time as an ``Estimate`` without variance."""
+        log_seconds = self._world.get_log_seconds(service, load, kinds)
+        return interference.Estimate(log_seconds, 0.0)
 
     def get_weight(self, service, kind, load):
-        """Return the true weight of a pair."""
+        """Return the true interference of a pair at a load."""
         return self._world.pairs[(service, kind)] * (0.25 + load)
 
     def observe(self, *arguments):
-        """There is nothing to learn."""
+        """Ignore a measurement; the true values are known."""
