--- a/packages/testing/portwharf/testing/bench_requests.py
+++ b/packages/testing/portwharf/testing/bench_requests.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""``make bench-requests``: routing and limits under an open load.
+"""Open-loop benchmarks of request routing (``make bench-requests``).
 
-The real router, ratings, gate and admission in one process, with runners
-that sleep instead of computing, so that the machine's own speed matters
-little. Requests arrive on a seeded schedule whatever became of those
-before, and count from their scheduled arrival. Our own simpler policies
-are run beside ours on the same schedule. Bounds are on ratios.
+Runs the production router, ratings, gate and admission in one process, with
+runners that sleep instead of computing, so that results depend little on the
+machine's speed. Requests follow a seeded schedule that does not wait for
+earlier ones, and latency counts from the scheduled arrival. Simpler baseline
+policies run on the same schedule. Bounds are on ratios.
 """
 
 import concurrent.futures
@@ -31,25 +31,27 @@
 from portwharf.side import admission
 from portwharf.testing import fixtures
 
-ENDPOINTS = 11
+ENDPOINT_COUNT = 11
 SLOTS = 8
-QUEUE = 32
-ENTRIES = 3
-MEDIAN_SECONDS = 0.08
-SPREAD = 0.5
+QUEUE_LENGTH = 32
+ENTRY_COUNT = 3
+MEDIAN_SERVICE_SECONDS = 0.08
+LOG_SIGMA = 0.5
 SLOW_FACTOR = 10
-SECONDS = 12.0
-WARM_SECONDS = 4.0
+DURATION_SECONDS = 12.0
+WARM_UP_SECONDS = 4.0
 DEADLINE_MS = 3000
-_THREADS = 900
+_CLIENT_THREADS = 900
 _SERVICE = 'lens/fit-check'
 # Mean of the lognormal service time.
-_MEAN_SECONDS = MEDIAN_SECONDS * 2.718281828 ** (SPREAD**2 / 2)
-CAPACITY = ENDPOINTS * SLOTS / _MEAN_SECONDS
+_MEAN_SERVICE_SECONDS = MEDIAN_SERVICE_SECONDS * 2.718281828 ** (
+    LOG_SIGMA**2 / 2
+)
+CAPACITY_PER_SECOND = ENDPOINT_COUNT * SLOTS / _MEAN_SERVICE_SECONDS
 
 
 class SleepingRunner(endpoints.Runner):
-    """A runner that takes a while."""
+    """A runner that sleeps for a random service time."""
 
     def __init__(self, seed, factor):
         self._random = random.Random(seed)
@@ -58,22 +60,22 @@
 
     def run(self, request, service, payload, timeout):
         with self._lock:
-            seconds = self._random.lognormvariate(0, SPREAD)
-        time.sleep(seconds * MEDIAN_SECONDS * self._factor)
+            seconds = self._random.lognormvariate(0, LOG_SIGMA)
+        time.sleep(seconds * MEDIAN_SERVICE_SECONDS * self._factor)
         return endpoints.RunnerAnswer(whole=True, payload=payload)
 
 
 class DirectLink(sides.SideLink):
-    """A link that hands requests to an admission in this process."""
+    """A link that passes requests to an admission queue in this process."""
 
-    def __init__(self, vm, made, now):
-        super().__init__(vm, None, None, now)
-        self._admission = made
+    def __init__(self, vm, admission_queue, system_clock):
+        super().__init__(vm, None, None, system_clock)
+        self._admission = admission_queue
         self.view.up = True
         self.view.state.slots = SLOTS
 
     def begin(self, message, payload=b''):
-        """Offer a request to the admission."""
+        """Offer a request to the admission queue; returns its exchange."""
         exchange = sides.Exchange(self._clock.read_monotonic())
         with self._lock:
             message.id = next(self._numbers)
@@ -92,7 +94,7 @@
         return exchange
 
     def withdraw(self, message):
-        """Forget a request."""
+        """Withdraw a request; its answer is ignored."""
         self._forget(message.id)
 
     def _take_verdict(self, message, verdict):
@@ -112,11 +114,11 @@
         )
 
 
-class Table:
-    """Links that all serve the service."""
+class StaticLinkTable:
+    """A link table in which every link serves every service."""
 
-    def __init__(self, made):
-        self._links = made
+    def __init__(self, links):
+        self._links = links
 
     def list_serving(self, service):
         """Return all links."""
@@ -124,37 +126,37 @@
 
 
 class RandomRouter(routing.EndpointRouter):
-    """Baseline: any endpoint, no limit at the entry."""
+    """Baseline: a random endpoint, without a limit at the entry."""
 
     def _pass_gate(self, call, deadline):
         return self._try_endpoints(call, deadline)
 
     def _choose(self, service, tried):
-        serving = self._list_fresh(service, tried)
+        serving = self._list_untried(service, tried)
         return self._random.choice(serving) if serving else None
 
-    def _list_fresh(self, service, tried):
+    def _list_untried(self, service, tried):
         serving = self._links.list_serving(service)
         return [link for link in serving if link.name not in tried]
 
 
 class RoundRobinRouter(RandomRouter):
-    """Baseline: each endpoint in its turn."""
+    """Baseline: the endpoints in turn."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
         self._turns = itertools.count()
 
     def _choose(self, service, tried):
-        serving = self._list_fresh(service, tried)
+        serving = self._list_untried(service, tried)
         return serving[next(self._turns) % len(serving)] if serving else None
 
 
-class LeastRouter(RandomRouter):
-    """Baseline: the endpoint with the fewest of our own requests."""
+class LeastConnectionsRouter(RandomRouter):
+    """Baseline: the endpoint with the fewest requests of this entry."""
 
     def _choose(self, service, tried):
-        serving = self._list_fresh(service, tried)
+        serving = self._list_untried(service, tried)
         return min(serving, key=lambda link: link.view.sent, default=None)
 
 
@@ -168,7 +170,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Figures:
-    """What came of one run."""
+    """Results of one run.
+
+    :param p50: median latency, in ms
+    :param good: requests answered before their deadline, a second
+    """
 
     p50: float = 0.0
     p99: float = 0.0
@@ -179,111 +185,126 @@
 
 
 class Run:
-    """One policy under one schedule."""
+    """Runs one policy against one schedule."""
 
-    def __init__(self, policy, slow=0):
+    def __init__(self, policy, slow_endpoints=0):
         self._clock = clock.SystemClock()
         self._admissions = []
-        vms = [fixtures.make_vm(number) for number in range(ENDPOINTS)]
-        for number in range(ENDPOINTS):
-            factor = SLOW_FACTOR if number < slow else 1.0
+        vms = [fixtures.make_vm(number) for number in range(ENDPOINT_COUNT)]
+        for number in range(ENDPOINT_COUNT):
+            factor = SLOW_FACTOR if number < slow_endpoints else 1.0
             runner = SleepingRunner(number, factor)
-            made = admission.Admission(runner, SLOTS, QUEUE, self._clock)
-            self._admissions.append(made.__enter__())
+            admission_queue = admission.Admission(
+                runner, SLOTS, QUEUE_LENGTH, self._clock
+            )
+            self._admissions.append(admission_queue.__enter__())
         self._routers = [
             policy(
-                Table(
+                StaticLinkTable(
                     [
-                        DirectLink(vm, made, self._clock)
-                        for vm, made in zip(vms, self._admissions, strict=True)
+                        DirectLink(vm, admission_queue, self._clock)
+                        for vm, admission_queue in zip(
+                            vms, self._admissions, strict=True
+                        )
                     ]
                 ),
                 self._clock,
                 f'zone-{number}',
                 lambda *_: None,
             )
-            for number in range(ENTRIES)
+            for number in range(ENTRY_COUNT)
         ]
         self._lock = threading.Lock()
         self._rows = []
 
     def run(self, schedule):
-        """Send the schedule; returns rows of arrival, result, seconds."""
-        with concurrent.futures.ThreadPoolExecutor(_THREADS) as pool:
-            began = time.monotonic()
+        """Send all requests.
+
+        :returns: list of (arrival, result, latency in seconds)
+        """
+        with concurrent.futures.ThreadPoolExecutor(_CLIENT_THREADS) as pool:
+            started = time.monotonic()
             for number, arrival in enumerate(schedule):
-                wait = began + arrival.when - time.monotonic()
-                if wait > 0:
-                    time.sleep(wait)
-                pool.submit(self._send, number, arrival, began)
-        for made in self._admissions:
-            made.__exit__()
+                wait_seconds = started + arrival.when - time.monotonic()
+                if wait_seconds > 0:
+                    time.sleep(wait_seconds)
+                pool.submit(self._send, number, arrival, started)
+        for admission_queue in self._admissions:
+            admission_queue.__exit__()
         return self._rows
 
-    def _send(self, number, arrival, began):
+    def _send(self, number, arrival, started):
         call = callers.Call(
             ids.make_id(), _SERVICE, True, DEADLINE_MS, b'x', arrival.caller
         )
-        done = self._routers[number % ENTRIES].route(call)
-        seconds = time.monotonic() - began - arrival.when
+        result = self._routers[number % ENTRY_COUNT].route(call)
+        latency_seconds = time.monotonic() - started - arrival.when
         with self._lock:
-            self._rows.append((arrival, done, seconds))
+            self._rows.append((arrival, result, latency_seconds))
 
 
-def make_schedule(share, seed=1, parts=1, noisy=0.0):
-    """Return arrivals at a share of the capacity.
+def make_schedule(load, seed=1, caller_count=1, noisy_load=0.0):
+    """Return a list of :class:`Arrival`, sorted by time.
 
-    :param parts: callers that share the load equally
-    :param noisy: a share of the capacity more, by one more caller
+    :param load: offered load, as a share of the capacity
+    :param caller_count: number of callers that share the load equally
+    :param noisy_load: load of one more caller, as a share of the capacity
     """
     rnd = random.Random(seed)
     arrivals = []
     for rate, names in (
-        (share * CAPACITY, [f'caller-{n}' for n in range(parts)]),
-        (noisy * CAPACITY, ['noisy']),
+        (
+            load * CAPACITY_PER_SECOND,
+            [f'caller-{n}' for n in range(caller_count)],
+        ),
+        (noisy_load * CAPACITY_PER_SECOND, ['noisy']),
     ):
         when = 0.0
-        while rate and when < SECONDS:
+        while rate and when < DURATION_SECONDS:
             when += rnd.expovariate(rate)
             arrivals.append(Arrival(when, rnd.choice(names)))
     return sorted(arrivals, key=lambda arrival: arrival.when)
 
 
-def measure(policy, schedule, slow=0, skip_caller=''):
-    """Run a policy and return its :class:`Figures`, warm-up left out.
+def measure(policy, schedule, slow_endpoints=0, skip_caller=''):
+    """Run a policy and return its :class:`Figures` without the warm-up.
 
-    A request that was not answered counts as one that took until the
-    deadline, so that no policy looks fast by refusing.
+    A request without an answer counts with the deadline as its latency, so
+    that refusing requests does not improve a policy's percentiles.
+
+    :param slow_endpoints: number of slow endpoints
+    :param skip_caller: name of a caller whose requests are not counted
     """
-    made = histogram.HdrHistogram(1, 60_000_000, 3)
+    latencies = histogram.HdrHistogram(1, 60_000_000, 3)
     figures = Figures()
-    for arrival, done, seconds in Run(policy, slow).run(schedule):
-        if arrival.when < WARM_SECONDS or arrival.caller == skip_caller:
+    for arrival, result, latency_seconds in Run(policy, slow_endpoints).run(
+        schedule
+    ):
+        if arrival.when < WARM_UP_SECONDS or arrival.caller == skip_caller:
             continue
         figures.total += 1
-        if done.outcome != data.Outcome.ANSWERED:
+        if result.outcome != data.Outcome.ANSWERED:
             figures.refused += 1
-            # Whoever got no answer waited in vain: the worst there is.
-            made.record_value(DEADLINE_MS * 1000)
+            latencies.record_value(DEADLINE_MS * 1000)
             continue
         figures.answered += 1
-        figures.good += seconds * 1000 <= DEADLINE_MS
-        made.record_value(max(1, int(seconds * 1e6)))
-    figures.good /= SECONDS - WARM_SECONDS
-    figures.p50 = made.get_value_at_percentile(50) / 1000
-    figures.p99 = made.get_value_at_percentile(99) / 1000
+        figures.good += latency_seconds * 1000 <= DEADLINE_MS
+        latencies.record_value(max(1, int(latency_seconds * 1e6)))
+    figures.good /= DURATION_SECONDS - WARM_UP_SECONDS
+    figures.p50 = latencies.get_value_at_percentile(50) / 1000
+    figures.p99 = latencies.get_value_at_percentile(99) / 1000
     return figures
 
 
 POLICIES = {
     'random': RandomRouter,
     'round robin': RoundRobinRouter,
-    'least connections': LeastRouter,
+    'least connections': LeastConnectionsRouter,
     'portwharf': routing.EndpointRouter,
 }
 
 
-def _show(name, figures):
+def _print_figures(name, figures):
     print(
         f'{name:34} p50 {figures.p50:7.1f} ms  p99 {figures.p99:8.1f} ms  '
         f'good {figures.good:6.0f}/s  not answered {figures.refused:5d} of '
@@ -292,69 +313,78 @@
     )
 
 
-def _check(name, value, most=None, least=None):
-    good = (most is None or value <= most) and (
-        least is None or value >= least
+def _check_bound(name, value, maximum=None, minimum=None):
+    holds = (maximum is None or value <= maximum) and (
+        minimum is None or value >= minimum
+    )
+    bound = (
+        f'at most {maximum}' if maximum is not None else f'at least {minimum}'
     )
-    bound = f'at most {most}' if most is not None else f'at least {least}'
-    verdict = 'good' if good else 'MISSED'
+    verdict = 'good' if holds else 'MISSED'
     print(f'  {name}: {value:.2f} ({bound}) {verdict}', flush=True)
-    return good
+    return holds
 
 
 def bench_slow_endpoint():
-    """One endpoint in eleven is ten times slower, at 60% load."""
+    """Measure latency with one slow endpoint, at 60% load."""
     schedule = make_schedule(0.6)
     healthy = measure(routing.EndpointRouter, schedule)
-    _show('portwharf, all healthy', healthy)
-    found = {}
+    _print_figures('portwharf, all healthy', healthy)
+    by_policy = {}
     for name, policy in POLICIES.items():
-        found[name] = measure(policy, schedule, slow=1)
-        _show(f'{name}, one slow', found[name])
-    ours = found['portwharf'].p99
+        by_policy[name] = measure(policy, schedule, slow_endpoints=1)
+        _print_figures(f'{name}, one slow', by_policy[name])
+    ours = by_policy['portwharf'].p99
     return [
-        _check('p99 to all healthy', ours / healthy.p99, most=1.3),
-        _check(
-            'p99 to round robin', ours / found['round robin'].p99, most=0.5
+        _check_bound('p99 to all healthy', ours / healthy.p99, maximum=1.3),
+        _check_bound(
+            'p99 to round robin',
+            ours / by_policy['round robin'].p99,
+            maximum=0.5,
         ),
     ]
 
 
 def bench_overload():
-    """Half more arrives than can be done."""
+    """Measure goodput at 1.5 times the capacity."""
     schedule = make_schedule(1.5)
-    found = {}
+    by_policy = {}
     for name in ('least connections', 'portwharf'):
-        found[name] = measure(POLICIES[name], schedule)
-        _show(f'{name}, 1.5 times capacity', found[name])
-    good = found['portwharf'].good / CAPACITY
-    return [_check('goodput to capacity', good, least=0.9)]
+        by_policy[name] = measure(POLICIES[name], schedule)
+        _print_figures(f'{name}, 1.5 times capacity', by_policy[name])
+    good = by_policy['portwharf'].good / CAPACITY_PER_SECOND
+    return [_check_bound('goodput to capacity', good, minimum=0.9)]
 
 
 def bench_noisy_caller():
-    """One caller sends ten times its share beside nine modest ones."""
-    alone = make_schedule(0.45, parts=9)
-    noisy = make_schedule(0.45, parts=9, noisy=0.5)
+    """Measure nine callers beside one that sends ten times its share."""
+    alone = make_schedule(0.45, caller_count=9)
+    with_noisy = make_schedule(0.45, caller_count=9, noisy_load=0.5)
     before = measure(routing.EndpointRouter, alone)
-    _show('nine callers', before)
-    after = measure(routing.EndpointRouter, noisy, skip_caller='noisy')
-    _show('the same beside a noisy one', after)
-    base = measure(LeastRouter, noisy, skip_caller='noisy')
-    _show('the same, least connections', base)
+    _print_figures('nine callers', before)
+    after = measure(routing.EndpointRouter, with_noisy, skip_caller='noisy')
+    _print_figures('the same beside a noisy one', after)
+    base = measure(LeastConnectionsRouter, with_noisy, skip_caller='noisy')
+    _print_figures('the same, least connections', base)
     return [
-        _check('p99 to that without', after.p99 / before.p99, most=1.1),
-        _check('refused to sent', after.refused / after.total, most=0.01),
+        _check_bound(
+            'p99 to that without', after.p99 / before.p99, maximum=1.1
+        ),
+        _check_bound(
+            'refused to sent', after.refused / after.total, maximum=0.01
+        ),
     ]
 
 
 def bench_decision():
-    """What choosing an endpoint costs."""
-    now = clock.SystemClock()
-    made = [
-        DirectLink(fixtures.make_vm(n), None, now) for n in range(ENDPOINTS)
+    """Measure the processor time of choosing an endpoint."""
+    system_clock = clock.SystemClock()
+    links = [
+        DirectLink(fixtures.make_vm(n), None, system_clock)
+        for n in range(ENDPOINT_COUNT)
     ]
     router = routing.EndpointRouter(
-        Table(made), now, 'zone-0', lambda *_: None
+        StaticLinkTable(links), system_clock, 'zone-0', lambda *_: None
     )
     count = 20_000
     began = time.process_time()
@@ -364,22 +394,22 @@
         router._ratings.observe(link.name, data.Outcome.ANSWERED, '', 0.05)
         router._gate.note_load(_SERVICE, 1, SLOTS)
         router._gate.leave(_SERVICE, 'x')
-    spent = 1e6 * (time.process_time() - began) / count
-    return [_check('microseconds a decision', spent, most=60)]
+    microseconds = 1e6 * (time.process_time() - began) / count
+    return [_check_bound('microseconds a decision', microseconds, maximum=60)]
 
 
 def main():
-    """Run all benchmarks, or those that the arguments name."""
+    """Run all benchmarks, or those named by the arguments."""
     benches = {
         'slow': bench_slow_endpoint,
         'overload': bench_overload,
         'noisy': bench_noisy_caller,
         'decision': bench_decision,
     }
-    good = True
+    passed = True
     for name in sys.argv[1:] or benches:
-        good = all(benches[name]()) and good
-    return 0 if good else 1
+        passed = all(benches[name]()) and passed
+    return 0 if passed else 1
 
 
 if __name__ == '__main__':
--- a/packages/testing/portwharf/testing/crash_day.py
+++ b/packages/testing/portwharf/testing/crash_day.py
@@ -1,11 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Days for ``make bench-crashes``, stepped from event to event.
-
-The state, the placement and the judgement of suspects are the real ones, on a
-virtual clock: eleven VMs, three a rack, with small jobs, wide ones and lasting
-tasks. Days differ by what crashes workers: tasks that do, or single workers,
-racks and zones, all at once, in series, and workers that go up and down.
+"""Discrete-event simulation of worker crashes for ``make bench-crashes``.
+
+Runs the production code for state, placement and crash-loop detection on a
+virtual clock. A simulated day has eleven VMs, three in a rack, with small
+jobs, wide jobs and long-running tasks. Kinds of days differ by what crashes
+workers: crashers, which are tasks that crash the worker they start on, or
+ordinary crashes of single workers, racks, zones, all workers, workers one
+after another, and workers that crash again and again.
 """
 
 import collections
@@ -28,37 +30,38 @@
 from portwharf.scheduler import suspects
 
 VMS = 11
-A_RACK = 3
-ROOM = data.Resources(32_000, 125_000)
-SECONDS = 30.0
-# From a decision to the start at the worker, through log and side.
-START_SECONDS = (0.015, 0.06)
-# From a crash to the owner's hearing of it.
-NOTICE_SECONDS = (0.005, 0.08)
-# A crasher takes its worker along so soon after its start.
-CRASH_SECONDS = (0.004, 0.03)
-BACK_SECONDS = 3.3
-_PASS_SECONDS = 0.05
-# Days of ordinary crashes: which workers go, and when after one another.
-ORDINARY = ('single', 'rack', 'zone', 'all', 'series', 'flapping')
-CRASHERS = ('crasher', 'two-crashers', 'unanswered', 'crasher-in-series')
+VMS_PER_RACK = 3
+VM_CAPACITY = data.Resources(32_000, 125_000)
+DURATION_SECONDS = 30.0
+# From a placement decision to the start at the worker.
+START_DELAY_SECONDS = (0.015, 0.06)
+# From a crash to its report to the owner.
+NOTICE_DELAY_SECONDS = (0.005, 0.08)
+# From the start of a crasher to the crash of its worker.
+CRASH_DELAY_SECONDS = (0.004, 0.03)
+RESTART_SECONDS = 3.3
+_PASS_INTERVAL_SECONDS = 0.05
+# Kinds of days with ordinary crashes, and with crashers.
+ORDINARY_KINDS = ('single', 'rack', 'zone', 'all', 'series', 'flapping')
+CRASHER_KINDS = ('crasher', 'two-crashers', 'unanswered', 'crasher-in-series')
 
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What one day, or several, came to.
-
-    :param false: sound jobs that were given up
-    :param crashers: jobs with a crasher that had begun
-    :param caught: those that were given up
-    :param crashes: of workers, under crashers
-    :param most: the most of them under one task
-    :param killed: sound tasks that went with a crasher's worker
-    :param serving: lasting ones among them
-    :param lost: processor seconds of theirs that were lost
-    :param seconds: from a crasher's first start to its being given up
-    :param done: sound jobs that were completed
-    :param away: the longest that a sound lasting task was away, in seconds
+    """Results of one day, or sums over several days.
+
+    :param false: healthy jobs that were given up
+    :param crashers: jobs whose crasher has started
+    :param caught: those of them that were given up
+    :param crashes: worker crashes caused by crashers
+    :param most: maximum of these crashes by one task
+    :param killed: healthy tasks lost in these crashes
+    :param serving: long-running tasks among the lost ones
+    :param lost: processor seconds of the lost tasks
+    :param seconds: time from the first start of each crasher until it was
+        given up, summed
+    :param done: completed jobs
+    :param away: longest outage of a healthy long-running task, in seconds
     """
 
     false: int = 0
@@ -74,127 +77,141 @@
     away: float = 0.0
 
     def add(self, other):
-        """Add another day's."""
+        """Add the results of another day."""
         for field in dataclasses.fields(self):
             name = field.name
-            one, two = getattr(self, name), getattr(other, name)
-            most = name in ('most', 'away')
-            setattr(self, name, max(one, two) if most else one + two)
+            own, added = getattr(self, name), getattr(other, name)
+            is_maximum = name in ('most', 'away')
+            setattr(self, name, max(own, added) if is_maximum else own + added)
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """One attempt at a worker."""
+    """One attempt that runs on a worker."""
 
     task: str = ''
     attempt: int = 0
     began: float = 0.0
 
 
-class Members:
-    """All VMs are heard."""
+class ReachableMembers:
+    """Members of a cluster in which no VM is silent."""
 
     def is_silent(self, name, now):
         return False
 
 
 class Day:
-    """One day, stepped from event to event."""
+    """Simulates one day."""
 
-    def __init__(self, seed, kind, judged=True):
+    def __init__(self, seed, kind, with_detection=True):
         self._random = random.Random(f'{seed} {kind}')
         self._kind = kind
-        self._judged = judged
+        self._with_detection = with_detection
         self._clock = clock.ManualClock(0.0)
         self._state = state.ShardState()
-        self._loops = crashloop.CrashLoops(self._clock, self._state, Members())
+        self._crash_loops = crashloop.CrashLoops(
+            self._clock, self._state, ReachableMembers()
+        )
         self._queue = []
-        self._order = itertools.count()
-        self._jobs = itertools.count()
-        self._runs = {self._name(number): {} for number in range(VMS)}
-        # When each worker is there again, and since when the owner knows.
-        self._back = collections.defaultdict(float)
-        self._known_away = collections.defaultdict(float)
-        self._lives = collections.Counter()
+        self._sequence = itertools.count()
+        self._job_numbers = itertools.count()
+        self._runs = {
+            self._format_vm_name(number): {} for number in range(VMS)
+        }
+        # When each crashed worker is back, and the same as the owner knows it.
+        self._back_at = collections.defaultdict(float)
+        self._known_away_until = collections.defaultdict(float)
+        self._incarnations = collections.Counter()
         self._crashers = {}
-        self._answered = kind != 'unanswered'
-        self._counts = collections.Counter()
+        self._starts_answered = kind != 'unanswered'
+        self._crashes_by_task = collections.Counter()
         self._given_up = {}
-        # Since when tasks that a crash has ended are away.
-        self._gone_at = {}
-        self._first = {}
+        # When the owner learnt that a task was lost, until it starts again.
+        self._lost_at = {}
+        self._first_start = {}
         self.tally = Tally()
 
-    def play(self):
-        """Play the day; returns its :class:`Tally`."""
-        self._plan()
+    def run(self):
+        """Run the simulation; returns its :class:`Tally`."""
+        self._schedule_day()
         while self._queue:
-            at, _, act, arguments = heapq.heappop(self._queue)
-            if at > SECONDS:
+            at, _, action, arguments = heapq.heappop(self._queue)
+            if at > DURATION_SECONDS:
                 break
             self._clock.advance(max(0.0, at - self._now))
-            act(*arguments)
-        self._finish()
+            action(*arguments)
+        self._fill_tally()
         return self.tally
 
     @property
     def _now(self):
         return self._clock.read_monotonic()
 
-    def _at(self, seconds, act, *arguments):
-        row = (seconds, next(self._order), act, arguments)
-        heapq.heappush(self._queue, row)
+    def _schedule_at(self, at, action, *arguments):
+        entry = (at, next(self._sequence), action, arguments)
+        heapq.heappush(self._queue, entry)
 
-    def _in(self, span, act, *arguments):
-        self._at(self._now + self._random.uniform(*span), act, *arguments)
+    def _schedule_in(self, delay_range, action, *arguments):
+        self._schedule_at(
+            self._now + self._random.uniform(*delay_range), action, *arguments
+        )
 
-    # What comes, and what fails.
+    # Arrivals and failures.
 
-    def _plan(self):
+    def _schedule_day(self):
         rnd = self._random
         for _ in range(8):
-            self._at(0.1, self._submit, self._make_lasting())
+            self._schedule_at(0.1, self._submit, self._make_long_running())
         for rate, make in ((1.5, self._make_small), (0.4, self._make_wide)):
             at = rnd.expovariate(rate)
-            while at < SECONDS:
-                self._at(at, self._submit, make())
+            while at < DURATION_SECONDS:
+                self._schedule_at(at, self._submit, make())
                 at += rnd.expovariate(rate)
-        for number in range(int(SECONDS / _PASS_SECONDS)):
-            self._at(number * _PASS_SECONDS, self._pass)
-        if self._kind in CRASHERS:
+        for number in range(int(DURATION_SECONDS / _PASS_INTERVAL_SECONDS)):
+            self._schedule_at(number * _PASS_INTERVAL_SECONDS, self._run_pass)
+        if self._kind in CRASHER_KINDS:
             count = 2 if self._kind == 'two-crashers' else 1
             for _ in range(count):
                 at = rnd.uniform(8, 12)
-                self._at(at, self._submit, self._make_crasher())
+                self._schedule_at(at, self._submit, self._make_crasher())
         if self._kind == 'crasher-in-series':
-            self._plan_crashes('series')
-        if self._kind in ORDINARY:
-            self._plan_crashes(self._kind)
+            self._schedule_crashes('series')
+        if self._kind in ORDINARY_KINDS:
+            self._schedule_crashes(self._kind)
 
-    def _plan_crashes(self, kind):
+    def _schedule_crashes(self, kind):
         rnd = self._random
         names = list(self._runs)
         at = rnd.uniform(6, 12)
         if kind == 'single':
             for _ in range(rnd.randint(1, 6)):
-                self._at(rnd.uniform(5, 25), self._crash, rnd.choice(names))
+                self._schedule_at(
+                    rnd.uniform(5, 25), self._crash, rnd.choice(names)
+                )
         elif kind == 'flapping':
-            period = rnd.uniform(0.3, 5.0)
+            period_seconds = rnd.uniform(0.3, 5.0)
             for name in rnd.sample(names, rnd.randint(1, 3)):
-                for turn in range(int((SECONDS - at) / (period + 1.0))):
-                    self._at(at + turn * (period + 1.0), self._flap, name)
+                for turn in range(
+                    int((DURATION_SECONDS - at) / (period_seconds + 1.0))
+                ):
+                    self._schedule_at(
+                        at + turn * (period_seconds + 1.0), self._flap, name
+                    )
         else:
             first = rnd.randrange(VMS)
-            count = {'rack': A_RACK, 'zone': 4, 'all': VMS}.get(kind, 8)
-            gap = rnd.uniform(0, 0.3) if kind != 'series' else 0.0
-            gap = gap or rnd.uniform(0.02, 4.0)
-            gap = 0.0 if kind == 'all' and rnd.random() < 0.5 else gap
+            count = {'rack': VMS_PER_RACK, 'zone': 4, 'all': VMS}.get(kind, 8)
+            gap_seconds = rnd.uniform(0, 0.3) if kind != 'series' else 0.0
+            gap_seconds = gap_seconds or rnd.uniform(0.02, 4.0)
+            gap_seconds = (
+                0.0 if kind == 'all' and rnd.random() < 0.5 else gap_seconds
+            )
             for turn in range(count):
                 name = names[(first + turn) % VMS]
-                self._at(at + turn * gap, self._crash, name)
+                self._schedule_at(at + turn * gap_seconds, self._crash, name)
 
     def _make_job(self, *steps):
-        name = f'job-{next(self._jobs):04d}'
+        name = f'job-{next(self._job_numbers):04d}'
         return data.Job(name, 'queue', 1, b'', list(steps), 4000)
 
     def _make_step(self, count, milli, run_ms, **fields):
@@ -212,14 +229,16 @@
         first = self._make_step(8, 3500, 3400, image='b')
         return self._make_job(first, dataclasses.replace(first, after=['0']))
 
-    def _make_lasting(self):
-        lasts = data.Kind.STANDING
+    def _make_long_running(self):
+        standing = data.Kind.STANDING
         return self._make_job(
-            self._make_step(4, 1000, 0, kind=lasts, target_ms=400, image='c')
+            self._make_step(
+                4, 1000, 0, kind=standing, target_ms=400, image='c'
+            )
         )
 
     def _make_crasher(self):
-        makers = (self._make_small, self._make_wide, self._make_lasting)
+        makers = (self._make_small, self._make_wide, self._make_long_running)
         job = self._random.choice(makers)()
         task = self._random.randrange(job.steps[0].count)
         self._crashers[f'{job.id}.0.0.{task}'] = job.id
@@ -230,24 +249,34 @@
         self._state.apply(events.JobAccepted(now_ms, job))
 
     def _flap(self, name):
-        """A worker that goes, and is soon there again."""
+        """Crash a worker that is back after one second."""
         self._crash(name, 1.0)
 
-    def _crash(self, name, seconds=BACK_SECONDS, crasher=''):
-        """A worker's process ends with all that it runs."""
-        if self._back[name] > self._now:
+    def _crash(self, name, seconds=RESTART_SECONDS, crasher=''):
+        """Crash a worker with all tasks on it.
+
+        :param seconds: time until the worker is back
+        :param crasher: the task that caused the crash, or ''
+        """
+        if self._back_at[name] > self._now:
             return
         runs, self._runs[name] = self._runs[name], {}
-        self._back[name] = self._now + seconds
-        self._lives[name] += 1
-        life = f'life-{self._lives[name]}'
-        self._in(NOTICE_SECONDS, self._notice, name, life, list(runs.values()))
+        self._back_at[name] = self._now + seconds
+        self._incarnations[name] += 1
+        incarnation = f'life-{self._incarnations[name]}'
+        self._schedule_in(
+            NOTICE_DELAY_SECONDS,
+            self._notify_crash,
+            name,
+            incarnation,
+            list(runs.values()),
+        )
         if crasher:
-            self._count_killed(runs, crasher)
+            self._count_lost(runs, crasher)
 
-    def _count_killed(self, runs, crasher):
+    def _count_lost(self, runs, crasher):
         self.tally.crashes += 1
-        self._counts[crasher] += 1
+        self._crashes_by_task[crasher] += 1
         for run in runs.values():
             record = self._state.find_workload(run.task)
             if record.workload.job == self._crashers[crasher]:
@@ -258,24 +287,24 @@
             if record.workload.run_ms:
                 self.tally.lost += cores * (self._now - run.began)
 
-    # What the side tells, and the owner does.
+    # Reports to the owner, and its decisions.
 
-    def _notice(self, name, life, runs):
-        self._known_away[name] = self._back[name]
+    def _notify_crash(self, name, incarnation, runs):
+        self._known_away_until[name] = self._back_at[name]
         for run in runs:
-            self._gone_at.setdefault(run.task, self._now)
-            self._report_crash(name, life, run)
-        self._judge()
+            self._lost_at.setdefault(run.task, self._now)
+            self._report_crash(name, incarnation, run)
+        self._detect_crash_loops()
 
-    def _report_crash(self, name, life, run):
+    def _report_crash(self, name, incarnation, run):
         ran_ms = int((self._now - run.began) * 1000)
-        if run.task in self._crashers and not self._answered:
+        if run.task in self._crashers and not self._starts_answered:
             ran_ms = -1
         report = messages.TaskReport(
             run.task,
             run.attempt,
             data.RunState.GONE,
-            crash=life,
+            crash=incarnation,
             ran_ms=ran_ms,
         )
         self._report(name, report)
@@ -283,27 +312,29 @@
     def _report(self, name, report):
         verdict = reconcile.Verdict()
         reconcile.judge_report(self._state, name, report, verdict)
-        if self._judged:
-            self._loops.take_report(name, report)
+        if self._with_detection:
+            self._crash_loops.take_report(name, report)
 
-    def _judge(self):
-        if self._judged:
-            self._loops.judge(batches.Batch(), self._add, self._note_ended)
+    def _detect_crash_loops(self):
+        if self._with_detection:
+            self._crash_loops.judge(
+                batches.Batch(), self._apply_event, self._note_given_up
+            )
 
-    def _add(self, batch, event):
+    def _apply_event(self, batch, event):
         self._state.apply(event)
 
-    def _note_ended(self, event, batch):
+    def _note_given_up(self, event, batch):
         job = self._state.find_workload(event.task).workload.job
         self._given_up.setdefault(job, self._now)
         if not self._state.jobs[job].cancelled:
             self._state.apply(events.JobCancelled(job))
 
-    def _pass(self):
-        """Place what waits, as an owner's pass does."""
-        self._judge()
-        if not self._judged:
-            # Nothing is known of crashes.
+    def _run_pass(self):
+        """Place waiting tasks, as a pass of the owner does."""
+        self._detect_crash_loops()
+        if not self._with_detection:
+            # Without detection, crashes leave no suspicion.
             for task in list(self._state.suspects):
                 self._state.apply(events.TaskCleared(task))
         now_ms = self._clock.read_unix_ms()
@@ -312,28 +343,28 @@
         )
         if not demands:
             return
-        held = self._loops.list_held() if self._judged else ()
+        held = self._crash_loops.list_held() if self._with_detection else ()
         for demand in demands:
             demand.held = held
-        views = [self._view(name) for name in self._runs]
-        if self._judged:
-            self._loops.mark_unsteady(views)
-        done = planning.plan(self._state, demands, views, {}, now_ms)
-        for one in done.placements:
-            event = events.TaskPlaced(one.task, one.attempt, one.vm)
+        views = [self._make_view(name) for name in self._runs]
+        if self._with_detection:
+            self._crash_loops.mark_unsteady(views)
+        planned = planning.plan(self._state, demands, views, {}, now_ms)
+        for placed in planned.placements:
+            event = events.TaskPlaced(placed.task, placed.attempt, placed.vm)
             self._state.apply(event)
-            if self._judged:
-                self._loops.note_placed(self._state.tasks[one.task])
-            run = Run(one.task, one.attempt)
-            self._in(START_SECONDS, self._start, one.vm, run)
+            if self._with_detection:
+                self._crash_loops.note_placed(self._state.tasks[placed.task])
+            run = Run(placed.task, placed.attempt)
+            self._schedule_in(START_DELAY_SECONDS, self._start, placed.vm, run)
 
-    def _view(self, name):
+    def _make_view(self, name):
         number = list(self._runs).index(name)
         vm = data.Vm(name, availability_zone=f'zone-{number % 3}')
-        view = vmview.VmView(vm, ROOM, self._state.reserved[name])
-        view.rack = f'rack-{number // A_RACK}'
+        view = vmview.VmView(vm, VM_CAPACITY, self._state.reserved[name])
+        view.rack = f'rack-{number // VMS_PER_RACK}'
         view.take_pairs(presses.Presses(), [])
-        if self._known_away[name] > self._now:
+        if self._known_away_until[name] > self._now:
             view.closed = 'away'
         for task in self._state.held[name].values():
             record = self._state.find_workload(task.id)
@@ -345,53 +376,61 @@
 
     def _start(self, name, run):
         record = self._state.find_workload(run.task)
-        if self._back[name] > self._now or record.cancelled:
-            state_ = data.RunState.REFUSED
+        if self._back_at[name] > self._now or record.cancelled:
+            refused = data.RunState.REFUSED
             self._report(
-                name, messages.TaskReport(run.task, run.attempt, state_)
+                name, messages.TaskReport(run.task, run.attempt, refused)
             )
             return
         run.began = self._now
         self._runs[name][run.task] = run
-        gone_at = self._gone_at.pop(run.task, self._now)
+        lost_at = self._lost_at.pop(run.task, self._now)
         if record.workload.target_ms and run.task not in self._crashers:
-            self.tally.away = max(self.tally.away, self._now - gone_at)
+            self.tally.away = max(self.tally.away, self._now - lost_at)
         running = data.RunState.RUNNING
         self._report(name, messages.TaskReport(run.task, run.attempt, running))
         if run.task in self._crashers:
-            self._first.setdefault(run.task, self._now)
-            life = self._lives[name]
-            self._in(CRASH_SECONDS, self._take_along, name, run, life)
+            self._first_start.setdefault(run.task, self._now)
+            incarnation = self._incarnations[name]
+            self._schedule_in(
+                CRASH_DELAY_SECONDS,
+                self._crash_by_task,
+                name,
+                run,
+                incarnation,
+            )
         elif record.workload.run_ms:
-            spread = self._random.uniform(0.7, 1.3)
-            seconds = spread * record.workload.run_ms / 1000
-            self._at(self._now + seconds, self._end, name, run)
+            factor = self._random.uniform(0.7, 1.3)
+            seconds = factor * record.workload.run_ms / 1000
+            self._schedule_at(self._now + seconds, self._complete, name, run)
 
-    def _take_along(self, name, run, life):
-        if self._lives[name] == life:
+    def _crash_by_task(self, name, run, incarnation):
+        if self._incarnations[name] == incarnation:
             self._crash(name, crasher=run.task)
 
-    def _end(self, name, run):
+    def _complete(self, name, run):
         if self._runs[name].get(run.task) is not run:
             return
         del self._runs[name][run.task]
-        done = data.RunState.SUCCEEDED
-        self._report(name, messages.TaskReport(run.task, run.attempt, done))
+        succeeded = data.RunState.SUCCEEDED
+        self._report(
+            name, messages.TaskReport(run.task, run.attempt, succeeded)
+        )
 
-    def _finish(self):
-        bad = set(self._crashers.values())
-        self.tally.false = len(set(self._given_up) - bad)
-        for task, began in self._first.items():
+    def _fill_tally(self):
+        crasher_jobs = set(self._crashers.values())
+        self.tally.false = len(set(self._given_up) - crasher_jobs)
+        for task, began in self._first_start.items():
             self.tally.crashers += 1
-            ended = self._given_up.get(self._crashers[task])
-            self.tally.caught += ended is not None
-            self.tally.seconds += (ended or SECONDS) - began
-        self.tally.most = max(self._counts.values(), default=0)
+            given_up_at = self._given_up.get(self._crashers[task])
+            self.tally.caught += given_up_at is not None
+            self.tally.seconds += (given_up_at or DURATION_SECONDS) - began
+        self.tally.most = max(self._crashes_by_task.values(), default=0)
         self.tally.done = sum(
             self._state.find_job_state(name) == data.JobState.COMPLETED
             for name in self._state.jobs
         )
 
     @staticmethod
-    def _name(number):
+    def _format_vm_name(number):
         return f'vm-{number:02d}'
--- a/packages/testing/portwharf/testing/crash_day_test.py
+++ b/packages/testing/portwharf/testing/crash_day_test.py
@@ -1,18 +1,19 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Days of ordinary crashes on which sound jobs were once given up.
+"""Crash-loop detection on simulated days of ordinary crashes.
 
-Each was found by ``make bench-crashes`` while it was looked for how many
-crashes are enough. What had them given up: two crashes alone (racks, zones,
-all, with tasks placed ahead of the wave), a second's calm before a trial (a
-series 1.3 s apart), two seconds' (series 2.1 to 2.4 s apart).
+On each of the listed days ``make bench-crashes`` found that an earlier rule
+gave up healthy jobs. Two crashes alone were enough for it (racks, zones, all
+workers, with tasks placed ahead of the wave), or a trial began after one
+second without a crash (crashes 1.3 s apart), or after two seconds (crashes
+2.1 to 2.4 s apart).
 """
 
 from portwharf.scheduler import faults_test
 from portwharf.scheduler import suspects
 from portwharf.testing import crash_day
 
-ONCE_FALSE = (
+DAYS_ONCE_WRONG = (
     ('rack', 20),
     ('zone', 2),
     ('all', 8),
@@ -26,31 +27,31 @@
 )
 
 
-def test_no_sound_job_is_given_up_for_ordinary_crashes(case):
-    for kind, seed in ONCE_FALSE:
+def test_no_healthy_job_is_given_up_after_ordinary_crashes(case):
+    for kind, seed in DAYS_ONCE_WRONG:
         with case.subTest(kind=kind, seed=seed):
-            case.assertEqual(crash_day.Day(seed, kind).play().false, 0)
+            case.assertEqual(crash_day.Day(seed, kind).run().false, 0)
 
 
-def test_crashers_are_given_up_within_what_users_allow(case):
+def test_crashers_are_given_up_within_the_allowed_crashes(case):
     for kind in ('crasher', 'two-crashers', 'unanswered'):
         with case.subTest(kind=kind):
-            tally = crash_day.Day(1, kind).play()
+            tally = crash_day.Day(1, kind).run()
             case.assertEqual(tally.caught, tally.crashers)
             case.assertLessEqual(tally.most, suspects.MOST)
 
 
-def test_far_less_goes_with_a_crashers_workers_than_without(case):
-    judged = crash_day.Day(1, 'crasher').play()
-    before = crash_day.Day(1, 'crasher', judged=False).play()
-    case.assertLess(judged.killed, before.killed / 2)
+def test_detection_reduces_tasks_lost_to_crashers(case):
+    with_detection = crash_day.Day(1, 'crasher').run()
+    before = crash_day.Day(1, 'crasher', with_detection=False).run()
+    case.assertLess(with_detection.killed, before.killed / 2)
 
 
-def test_waves_taken_for_calm(case):
-    """Two crashes alone, whatever else crashes, are not enough."""
+def test_ignored_crash_waves_are_detected(case):
+    """Giving up after two crashes regardless of others is detected."""
     faults_test.check(
         case,
-        test_no_sound_job_is_given_up_for_ordinary_crashes,
+        test_no_healthy_job_is_given_up_after_ordinary_crashes,
         suspects.CrashTimes,
         'is_calm',
         lambda self, since, names=(): True,
--- a/packages/testing/portwharf/testing/crash_play.py
+++ b/packages/testing/portwharf/testing/crash_play.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""``make bench-crashes``: tasks that crash workers, beside ordinary crashes.
+"""Benchmark of crash-loop detection (``make bench-crashes``).
 
-Each day of :mod:`portwharf.testing.crash_day` is played by the same seed with
-the judgement of suspects and without it, and what users get is counted: sound
-jobs given up, sound tasks that went with a crasher's workers, how long its job
-took to be shown as failed, work lost.
+Simulates days of :mod:`portwharf.testing.crash_day` on the same seeds with
+and without crash-loop detection, and prints the results: healthy jobs given
+up, healthy tasks lost in worker crashes, the time until a crashing job is
+shown as failed, and the work lost.
 """
 
 import argparse
@@ -15,19 +15,19 @@
 from portwharf.testing import crash_day
 
 
-def play_days(kind, seeds, judged):
-    """Return the :class:`Tally` of some days of one kind."""
+def run_days(kind, seeds, with_detection):
+    """Return the summed :class:`crash_day.Tally` of days of one kind."""
     tally = crash_day.Tally()
     for seed in seeds:
-        tally.add(crash_day.Day(seed, kind, judged).play())
+        tally.add(crash_day.Day(seed, kind, with_detection).run())
     return tally
 
 
-def describe(kind, judged, days, tally):
-    """Return a row of the table."""
+def format_row(kind, with_detection, days, tally):
+    """Format a row of the table."""
     seconds = tally.seconds / max(1, tally.crashers)
     return (
-        f'{kind:18} {"judged" if judged else "before":7} {days:5} '
+        f'{kind:18} {"judged" if with_detection else "before":7} {days:5} '
         f'{tally.false:5} {tally.caught:4}/{tally.crashers:<4} '
         f'{tally.crashes / max(1, tally.crashers):7.1f} {tally.most:4} '
         f'{tally.killed / days:7.1f} {tally.serving / days:7.2f} '
@@ -44,28 +44,36 @@
 
 
 def main():
-    """Play days of all kinds and print what came of them."""
+    """Simulate days of the chosen kinds and print a table."""
     parser = argparse.ArgumentParser(description=__doc__.split('\n')[0])
     parser.add_argument('--days', type=int, default=20)
     parser.add_argument('--first', type=int, default=1)
     parser.add_argument('--jobs', type=int, default=2)
     parser.add_argument(
-        '--kinds', nargs='*', default=crash_day.ORDINARY + crash_day.CRASHERS
+        '--kinds',
+        nargs='*',
+        default=crash_day.ORDINARY_KINDS + crash_day.CRASHER_KINDS,
     )
-    chosen = parser.parse_args()
-    # What owners log of it would be most of what is printed.
+    arguments = parser.parse_args()
+    # Keeps the owners' log lines out of the table.
     logging.lastResort = None
-    seeds = range(chosen.first, chosen.first + chosen.days)
+    seeds = range(arguments.first, arguments.first + arguments.days)
     print(HEADING, flush=True)
-    with concurrent.futures.ProcessPoolExecutor(chosen.jobs) as pool:
+    with concurrent.futures.ProcessPoolExecutor(arguments.jobs) as pool:
         rows = [
-            (kind, judged, pool.submit(play_days, kind, seeds, judged))
-            for kind in chosen.kinds
-            for judged in (False, True)
-            if judged or kind in crash_day.CRASHERS
+            (
+                kind,
+                with_detection,
+                pool.submit(run_days, kind, seeds, with_detection),
+            )
+            for kind in arguments.kinds
+            for with_detection in (False, True)
+            if with_detection or kind in crash_day.CRASHER_KINDS
         ]
-        for kind, judged, played in rows:
-            row = describe(kind, judged, chosen.days, played.result())
+        for kind, with_detection, future in rows:
+            row = format_row(
+                kind, with_detection, arguments.days, future.result()
+            )
             print(row, flush=True)
 
 
