--- a/packages/testing/portwharf/testing/gaps.py
+++ b/packages/testing/portwharf/testing/gaps.py
@@ -1,13 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Reads programs' logs and tells how long nothing was decided.
+"""Finds long gaps between placements in the logs of programs.
 
     python -m portwharf.testing.gaps LOG [LONGEST]
 
-Lines are ``SECONDS PROCESS {...}``, as the users' bench prints them for
-``run SITE deploy/days/DAY.toml --log side``. Printed is each pause between
-two placements that is longer than usual, with what owners did in it. A pause
-also comes about where nothing waits, so that the causes are to be read.
+Input lines are ``SECONDS PROCESS {...}``, as the users' bench prints them
+for ``run SITE deploy/days/DAY.toml --log side``. The output lists each gap
+between two placements of more than LONGEST seconds, with the ownership
+events in it. A gap may also mean that no task was waiting.
 """
 
 import dataclasses
@@ -15,15 +15,23 @@
 import re
 import sys
 
-# Shorter pauses between placements are usual on a site of 11 workers.
-USUAL_SECONDS = 0.8
-_LINE = re.compile(r'\s*(-?[0-9.]+)\s+(\S+)\s+(\{.*)')
-_EVENTS = ('owner begins', 'owner ends', 'resigned', 'append stalled')
+# Longest gap between placements that is usual on a site of 11 workers.
+USUAL_GAP_SECONDS = 0.8
+_LINE_PATTERN = re.compile(r'\s*(-?[0-9.]+)\s+(\S+)\s+(\{.*)')
+_OWNERSHIP_EVENTS = (
+    'owner begins',
+    'owner ends',
+    'resigned',
+    'append stalled',
+)
 
 
 @dataclasses.dataclass(slots=True)
 class Line:
-    """One line of a log."""
+    """One line of a log.
+
+    :param at: its time, in seconds
+    """
 
     at: float = 0.0
     process: str = ''
@@ -32,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Gap:
-    """A pause, and what owners did from just before it to its end."""
+    """A gap between placements, with the ownership events around it."""
 
     began: float = 0.0
     ended: float = 0.0
@@ -40,33 +48,36 @@
 
 
 def read_lines(source):
-    """Return the :class:`Line` values of a log; others are passed over."""
-    found = []
+    """Return the log's :class:`Line` values by time; skip other lines."""
+    lines = []
     for text in source:
-        match = _LINE.match(text)
+        match = _LINE_PATTERN.match(text)
         if match is None:
             continue
         try:
             message = json.loads(match.group(3)).get('message', '')
         except ValueError:
-            # A line that was cut off when its process was killed.
+            # The line was cut off when its process was killed.
             continue
-        found.append(Line(float(match.group(1)), match.group(2), message))
-    return sorted(found, key=lambda line: line.at)
+        lines.append(Line(float(match.group(1)), match.group(2), message))
+    return sorted(lines, key=lambda line: line.at)
+
 
+def find_gaps(lines, longest_seconds=USUAL_GAP_SECONDS):
+    """Return a :class:`Gap` for each gap between placements that is too long.
 
-def find_gaps(lines, longest=USUAL_SECONDS):
-    """Return the pauses between placements that are longer than usual."""
-    placed = [line.at for line in lines if line.message == 'placed']
+    :param longest_seconds: gaps up to this long are skipped
+    """
+    placed_at = [line.at for line in lines if line.message == 'placed']
     gaps = []
-    for began, ended in zip(placed, placed[1:], strict=False):
-        if ended - began <= longest:
+    for began, ended in zip(placed_at, placed_at[1:], strict=False):
+        if ended - began <= longest_seconds:
             continue
         events = [
             line
             for line in lines
             if began - 1 <= line.at <= ended
-            and line.message.startswith(_EVENTS)
+            and line.message.startswith(_OWNERSHIP_EVENTS)
         ]
         gaps.append(Gap(began, ended, events))
     return gaps
@@ -74,9 +85,11 @@
 
 def main():
     """Print the gaps of the log that the first argument names."""
-    longest = float(sys.argv[2]) if len(sys.argv) > 2 else USUAL_SECONDS
+    longest_seconds = (
+        float(sys.argv[2]) if len(sys.argv) > 2 else USUAL_GAP_SECONDS
+    )
     with open(sys.argv[1]) as source:
-        gaps = find_gaps(read_lines(source), longest)
+        gaps = find_gaps(read_lines(source), longest_seconds)
     for gap in gaps:
         print(f'{gap.ended - gap.began:5.2f} s from {gap.began:.2f}')
         for line in gap.events:
--- a/packages/testing/portwharf/testing/gaps_test.py
+++ b/packages/testing/portwharf/testing/gaps_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Pauses are found in logs, with what owners did in them."""
+"""Gaps between placements are found in logs, with ownership events."""
 
 from portwharf.testing import gaps
 
@@ -14,12 +14,12 @@
 """
 
 
-def test_pause_is_found_with_its_owner(case):
+def test_gap_is_found_with_its_ownership_events(case):
     (gap,) = gaps.find_gaps(gaps.read_lines(LOG.splitlines()))
     case.assertEqual((gap.began, gap.ended), (8.0, 9.3))
     case.assertEqual([line.process for line in gap.events], ['side-2'])
 
 
-def test_usual_pauses_are_passed_over(case):
+def test_usual_gaps_are_skipped(case):
     lines = gaps.read_lines(LOG.splitlines())
     case.assertEqual(gaps.find_gaps(lines, 2.0), [])
--- a/packages/testing/portwharf/testing/mutants.py
+++ b/packages/testing/portwharf/testing/mutants.py
@@ -1,11 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Which random walk finds a rule that is taken out, and after how many seeds.
+"""Mutation testing of the random walks (``make mutants``).
 
-The rules are those of the tests that bring about deliberate faults: each
-names what it replaces and the test that fails without it. Here the test is
-left out, and the walks alone have to find the fault. A replacement whose
-place has moved ends the run by an error.
+The mutants are those of the tests that call ``faults_test.check``, which
+name a function, its faulty replacement and a test that fails with it. This
+program applies each mutant without that test, and reports the first seed on
+which a random walk fails. It stops with an error if a replaced function no
+longer exists.
 """
 
 import argparse
@@ -24,10 +25,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Mutant:
-    """A rule that is taken out.
+    """A deliberate fault.
 
-    :param name: of the test that brings the fault about
-    :param place: the class or module, and ``attribute`` the rule's name
+    :param name: name of the test that injects it
+    :param place: the class or module whose ``attribute`` is replaced
     """
 
     name: str = ''
@@ -36,81 +37,82 @@
     replacement: object = None
 
     def apply(self):
-        """Return what takes the rule out, as a context manager."""
+        """Return a context manager that applies the mutant."""
         return mock.patch.object(self.place, self.attribute, self.replacement)
 
 
 def collect_mutants():
-    """Return the mutants of all tests that bring about faults."""
-    found = []
+    """Return the mutants of all tests that inject faults."""
+    mutants = []
     for path in suite.find_modules():
         text = path.name + path.read_text()
         if 'faults_test' not in text:
             continue
-        found += _collect_module(suite.import_module(path))
-    return found
+        mutants += _collect_module(suite.import_module(path))
+    return mutants
 
 
 def _collect_module(module):
-    """Return the mutants of a module's tests, which are not run."""
-    found = []
+    """Return the mutants of a module's tests without running the checks."""
+    mutants = []
 
-    def note(case, test, place, attribute, replacement):
-        found.append(Mutant(name, place, attribute, replacement))
+    def record_mutant(case, test, place, attribute, replacement):
+        mutants.append(Mutant(name, place, attribute, replacement))
 
     for name, function in inspect.getmembers(module, inspect.isfunction):
-        if not name.startswith('test_') or not _checks(function):
+        if not name.startswith('test_') or not _injects_fault(function):
             continue
-        with mock.patch.object(faults_test, 'check', note):
-            own = 'check' in vars(module)
-            target = module if own else faults_test
-            with mock.patch.object(target, 'check', note):
+        with mock.patch.object(faults_test, 'check', record_mutant):
+            imports_check = 'check' in vars(module)
+            target = module if imports_check else faults_test
+            with mock.patch.object(target, 'check', record_mutant):
                 function(unittest.TestCase())
-    return found
+    return mutants
 
 
-def _checks(function):
-    """Tell whether a test brings a fault about and does nothing else."""
+def _injects_fault(function):
+    """Return whether a test injects a fault without patching by itself."""
     source = inspect.getsource(function)
     return 'check(' in source and 'mock.patch' not in source
 
 
 def make_walk(seed):
-    """Return a walk of the cluster with all that there is."""
+    """Return a walk of the cluster with every kind of step enabled."""
     return walk.Walk(seed, more=True, births=True, jobs=True)
 
 
-def find_seed(seeds, make):
+def find_failing_seed(seeds, make_walk):
     """Return the first seed whose walk fails, or None.
 
-    What a fault breaks first may be an invariant of the code itself.
+    Any exception counts: a fault may first violate an invariant that the
+    code itself asserts.
     """
     for seed in range(seeds):
         try:
-            make(seed).run()
+            make_walk(seed).run()
         except Exception:
             return seed
     return None
 
 
-def find_by_cluster(mutant, seeds):
-    """Return the seed by which the walk of the cluster finds a mutant."""
+def find_seed_by_cluster_walk(mutant, seeds):
+    """Return the first seed whose cluster walk detects a mutant, or None."""
     with mutant.apply():
-        return find_seed(seeds, make_walk)
+        return find_failing_seed(seeds, make_walk)
 
 
-def find_by_runner(mutant):
-    """Return the seed by which the walk of the runner's client does."""
+def find_seed_by_runner_walk(mutant):
+    """Return the seed whose walk of the runner client detects it, or None."""
     with mutant.apply():
         try:
-            found = runner_walk_test.walk_all()
+            failure = runner_walk_test.walk_all()
         except Exception:
             return 0
-    return found[0] if found is not None else None
+    return failure[0] if failure is not None else None
 
 
-def describe(mutant, cluster_seed, runner_seed):
-    """Return a row of the table."""
+def format_row(mutant, cluster_seed, runner_seed):
+    """Format a row of the table."""
     place = getattr(mutant.place, '__name__', '').rpartition('.')[2]
     rule = f'{place}.{mutant.attribute}'
     seeds = ['' if one is None else one for one in (cluster_seed, runner_seed)]
@@ -118,7 +120,7 @@
 
 
 def main():
-    """Print the table for the mutants from one number to another."""
+    """Run the chosen range of mutants and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=200)
     parser.add_argument('--first', type=int, default=0)
@@ -126,13 +128,13 @@
     arguments = parser.parse_args()
     logging.getLogger().addHandler(logging.NullHandler())
     mutants = collect_mutants()[arguments.first : arguments.last]
-    missed = 0
+    undetected = 0
     for mutant in mutants:
-        by_cluster = find_by_cluster(mutant, arguments.seeds)
-        by_runner = find_by_runner(mutant)
-        missed += by_cluster is None and by_runner is None
-        print(describe(mutant, by_cluster, by_runner), flush=True)
-    print(f'{len(mutants)} rules taken out, {missed} found by no walk')
+        cluster_seed = find_seed_by_cluster_walk(mutant, arguments.seeds)
+        runner_seed = find_seed_by_runner_walk(mutant)
+        undetected += cluster_seed is None and runner_seed is None
+        print(format_row(mutant, cluster_seed, runner_seed), flush=True)
+    print(f'{len(mutants)} rules taken out, {undetected} found by no walk')
     return 0
 
 
--- a/packages/testing/portwharf/testing/overload_day.py
+++ b/packages/testing/portwharf/testing/overload_day.py
@@ -1,16 +1,16 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Days of more work than there is room for, on the real decisions.
+"""Simulates days with more batch work than capacity.
 
-The state, the order, the placement, the moves and the precedence beside what
-serves are the product's; VMs, run times and clients are played here, on a
-virtual clock and without a network. The load: on every VM something serves,
-and bears only so much press; wide jobs that fill, of two steps, come faster
-than they can be done, beside small jobs that go first. Clients' estimates of
-run times are far off. What is measured is what callers get: jobs whose last
-task ends within their objective, and worth by their work.
+The production code orders, places, moves and paces tasks; VMs, run times and
+clients are simulated on a virtual clock without a network. Every VM has a
+server task that tolerates a limited press, the slowdown by filling tasks
+beside it (see ``decisions.presses``). Wide jobs of filling tasks arrive
+faster than they can be completed, beside small jobs that take precedence.
+Clients' estimates of run times are inaccurate. The result is the worth of
+the jobs whose last task ended within their objective.
 
-By hand, the mean of some seeds: ``python -m portwharf.testing.overload_day``.
+``python -m portwharf.testing.overload_day`` prints results over some seeds.
 """
 
 import argparse
@@ -33,22 +33,25 @@
 from portwharf.testing import overload_load
 
 VMS = 20
-ROOM = data.Resources(64_000, 250_000)
-SERVING = data.Resources(36_000, 80_000)
-SECONDS = 40.0
+VM_CAPACITY = data.Resources(64_000, 250_000)
+SERVER_SIZE = data.Resources(36_000, 80_000)
+DURATION_SECONDS = 40.0
 STEP_SECONDS = 0.1
-# Presses of the images that fill, and what a server bears.
-LIGHT, HEAVY = 0.6, 5.0
+# Press of light and heavy filling images, the share of heavy ones, and the
+# press that a server tolerates, which swings by this share in this period.
+LIGHT_PRESS, HEAVY_PRESS = 0.6, 5.0
 HEAVY_SHARE = 0.65
-HEADROOM = 0.9
-SWING = 0.5
+TOLERATED_PRESS = 0.9
+SWING_SHARE = 0.5
 SWING_SECONDS = 10.0
-# From a decision to the start, and from a stop to being placed anew.
-START_SECONDS = 0.06
-STOP_SECONDS = 0.45
+# From a placement decision to the start, from a stop order to its report, and
+# for restoring a checkpoint; then the interval between checkpoints.
+START_DELAY_SECONDS = 0.06
+STOP_DELAY_SECONDS = 0.45
 RESTORE_SECONDS = 0.6
-SAVE_SECONDS = 0.5
-FAILS = 0.05
+CHECKPOINT_INTERVAL_SECONDS = 0.5
+# Share of attempts that fail.
+FAILURE_SHARE = 0.05
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,7 +60,8 @@
 
     :param needs: seconds of work in all
     :param worked: seconds of work done
-    :param saved: of those, what is saved
+    :param saved: seconds of work in the last checkpoint
+    :param pace: speed, as a share of full speed
     """
 
     task: str = ''
@@ -73,7 +77,7 @@
 
 
 class _Link:
-    """What the decisions look at of a member."""
+    """The part of a member's link that the decision code reads."""
 
     def __init__(self, name):
         self.name = name
@@ -82,110 +86,118 @@
 
 
 class Day:
-    """One day, in steps of a tenth of a second."""
+    """Simulates one day in steps of ``STEP_SECONDS``."""
 
-    def __init__(self, seed, load=1.3, estimates_off=0.9, knows=None):
-        """Take a seed and how much comes.
+    def __init__(self, seed, load=1.3, estimates_off=0.9, run_times=None):
+        """Take a seed and the parameters of the load.
 
         :param load: wide jobs a second
-        :param knows: a ``forecast.RunTimes``, or None for a new one; one
-            that knows all is the limit
+        :param estimates_off: maximum relative error of run time estimates
+        :param run_times: a ``forecast.RunTimes``, or None for a new one
         """
         self._seed = seed
         self._clients = overload_load.Clients(seed, load, estimates_off)
         self._clock = clock.ManualClock(0.0)
         self._state = state.ShardState()
-        self.runtimes = knows if knows is not None else forecast.RunTimes()
-        self._pairs = presses.Presses()
+        self.run_times = (
+            run_times if run_times is not None else forecast.RunTimes()
+        )
+        self._press_model = presses.Presses()
         self._presses = {}
         self._phases = {}
         self._runs = {}
         self._links = [_Link(f'vm-{n:02d}') for n in range(VMS)]
-        self._begun = {}
+        self._placed_at = {}
         self._patience = planning.Patience()
         self._shunned = rehoming.Shunned()
-        self._wanted = {}
-        self._saves = {}
-        self._ends = {}
+        self._submitted = {}
+        self._saved_seconds = {}
+        self._latencies = {}
         self._views = []
-        self._make_world()
+        self._set_up()
 
-    def play(self):
-        """Play the day.
+    def run(self):
+        """Run the simulation.
 
-        :returns: map of queue to :class:`Tally`
+        :returns: map of queue to ``overload_load.Tally``
         """
-        steps = int(SECONDS / STEP_SECONDS)
+        steps = int(DURATION_SECONDS / STEP_SECONDS)
         for number in range(steps):
             self._clock.advance(STEP_SECONDS)
-            self._come()
-            self._pace()
-            self._work()
-            self._pass()
+            self._submit_jobs()
+            self._pace_all()
+            self._advance_runs()
+            self._run_pass()
             if number % 4 == 0:
-                self._move()
-        return self._count()
+                self._move_stuck_tasks()
+        return self._make_tallies()
 
     @property
     def now(self):
-        """The time, in seconds."""
+        """The simulated time, in seconds."""
         return self._clock.read_monotonic()
 
     @property
     def _now_ms(self):
         return self._clock.read_unix_ms()
 
-    def _make_world(self):
+    def _set_up(self):
         rnd = random.Random(f'{self._seed} world')
-        told = []
-        for number in range(overload_load.IMAGES):
-            heavy = rnd.random() < HEAVY_SHARE
-            press = HEAVY * rnd.uniform(0.7, 1.4) if heavy else LIGHT
+        measured = []
+        for number in range(overload_load.IMAGE_COUNT):
+            is_heavy = rnd.random() < HEAVY_SHARE
+            press = (
+                HEAVY_PRESS * rnd.uniform(0.7, 1.4)
+                if is_heavy
+                else LIGHT_PRESS
+            )
             name = f'fill-{number}'
             self._presses[name] = press
-            told.append(messages.Press('serve', name, press, 0.3))
-        self._pairs.take_told(told)
+            measured.append(messages.Press('serve', name, press, 0.3))
+        self._press_model.take_told(measured)
         for link in self._links:
             self._phases[link.name] = rnd.uniform(0, SWING_SECONDS)
 
-    def _come(self):
-        for wanted in self._clients.come(self.now, STEP_SECONDS):
-            self._wanted[wanted.job.id] = wanted
-            if isinstance(self.runtimes, Oracle):
-                self.runtimes.seconds[wanted.job.id] = wanted.seconds
-            event = events.JobAccepted(self._now_ms, wanted.job)
+    def _submit_jobs(self):
+        for submitted in self._clients.submit_jobs(self.now, STEP_SECONDS):
+            self._submitted[submitted.job.id] = submitted
+            if isinstance(self.run_times, Oracle):
+                self.run_times.seconds[submitted.job.id] = submitted.seconds
+            event = events.JobAccepted(self._now_ms, submitted.job)
             self._state.apply(event)
 
-    # What VMs do.
+    # Simulated VMs.
 
-    def _bears(self, name):
-        """Return what the server of a VM bears now."""
+    def _get_tolerated_press(self, name):
+        """Return the press that the server of a VM tolerates now."""
         phase = (self.now + self._phases[name]) / SWING_SECONDS
         swing = 1 if phase % 1 < 0.5 else -1
-        return HEADROOM * (1 + SWING * swing * abs(2 * (phase % 0.5) - 0.5))
+        return TOLERATED_PRESS * (
+            1 + SWING_SHARE * swing * abs(2 * (phase % 0.5) - 0.5)
+        )
 
-    def _pace(self):
-        """Have each VM share its server's room out, by precedence."""
+    def _pace_all(self):
+        """Share out each server's headroom to filling tasks by precedence."""
         by_vm = {link.name: [] for link in self._links}
         for run in self._runs.values():
             by_vm[run.vm].append(run)
-        weigher = precedence.Weigher(self._state, self._now_ms, self.runtimes)
+        weigher = precedence.Weigher(self._state, self._now_ms, self.run_times)
         for link in self._links:
             link.paced = self._pace_vm(link.name, by_vm[link.name], weigher)
 
     def _pace_vm(self, name, runs, weigher):
-        filling = []
+        ranked = []
         for run in runs:
             record = self._state.find_workload(run.task)
             if record.workload.fills and not run.stopping:
                 press = self._presses[record.workload.image]
                 rank = precedence.rank(weigher.weigh(record), press)
-                filling.append((rank, run.task, press, run))
-        left, paced = self._bears(name), []
-        for _, _, press, run in sorted(filling, key=lambda row: row[:2]):
-            cost = press * 7000 / ROOM.cpu_milli
-            run.pace = max(0.03, min(1.0, left / cost))
-            left = max(0.0, left - cost * run.pace)
+                ranked.append((rank, run.task, press, run))
+        headroom, paced = self._get_tolerated_press(name), []
+        for _, _, press, run in sorted(ranked, key=lambda row: row[:2]):
+            full_press = press * 7000 / VM_CAPACITY.cpu_milli
+            run.pace = max(0.03, min(1.0, headroom / full_press))
+            headroom = max(0.0, headroom - full_press * run.pace)
             if run.pace < 1:
                 done = int(100 * run.worked / run.needs)
                 percent = int(100 * run.pace)
@@ -194,38 +206,38 @@
                 )
         return paced
 
-    def _work(self):
+    def _advance_runs(self):
         for run in list(self._runs.values()):
             if run.stopping:
                 if self.now >= run.ends_at:
-                    self._stopped(run)
+                    self._finish_stop(run)
                 continue
             if self.now < run.idle_until:
                 continue
             run.worked += run.pace * STEP_SECONDS
-            run.saved = run.worked - run.worked % SAVE_SECONDS
+            run.saved = run.worked - run.worked % CHECKPOINT_INTERVAL_SECONDS
             if run.worked >= run.needs:
-                self._ended(run)
+                self._end_run(run)
 
-    def _ended(self, run):
+    def _end_run(self, run):
         record = self._state.find_workload(run.task)
-        failed = self._draw(run, 'fails') < FAILS
+        failed = self._draw_random(run, 'fails') < FAILURE_SHARE
         end = data.RunState.FAILED if failed else data.RunState.SUCCEEDED
         del self._runs[run.task]
-        self._saves.pop(run.task, None)
+        self._saved_seconds.pop(run.task, None)
         if not failed:
             queue = self._state.jobs[record.workload.job].job.queue
-            self.runtimes.note(queue, record, int(1000 * run.needs))
+            self.run_times.note(queue, record, int(1000 * run.needs))
         self._report(run, end)
 
-    def _draw(self, run, what):
-        """Return a number, 0 to 1, that is the same whoever decides."""
+    def _draw_random(self, run, what):
+        """Return a random number, 0 to 1, that depends on the attempt only."""
         name = f'{self._seed} {what} {run.task} {run.attempt}'
         return random.Random(name).random()
 
-    def _stopped(self, run):
+    def _finish_stop(self, run):
         del self._runs[run.task]
-        self._saves[run.task] = run.saved
+        self._saved_seconds[run.task] = run.saved
         self._report(run, data.RunState.CHECKPOINTED)
 
     def _report(self, run, end):
@@ -234,7 +246,7 @@
         reconcile.judge_report(self._state, run.vm, report, verdict)
         job = self._state.find_workload(run.task).workload.job
         if self._state.find_job_state(job) == data.JobState.COMPLETED:
-            self._ends[job] = self.now - self._wanted[job].came
+            self._latencies[job] = self.now - self._submitted[job].came
         if self._state.jobs[job].failed:
             self._state.apply(events.JobCancelled(job))
             for other in list(self._runs.values()):
@@ -242,77 +254,84 @@
                     del self._runs[other.task]
                     self._report(other, data.RunState.GONE)
 
-    # What the owner does.
+    # The owner.
 
-    def _pass(self):
+    def _run_pass(self):
         views = self._view_vms()
         demands = planning.list_demands(
-            self._state, lambda _: frozenset(), self._now_ms, self.runtimes
+            self._state, lambda _: frozenset(), self._now_ms, self.run_times
         )
         shunned = self._shunned.find(self.now)
         for demand in demands:
             demand.shunned = shunned
         self._patience.apply(demands, self.now)
-        done = planning.plan(self._state, demands, views, {}, self._now_ms)
-        waiting = {one.record.id: one for one in done.waiting}
+        planned = planning.plan(self._state, demands, views, {}, self._now_ms)
+        waiting = {one.record.id: one for one in planned.waiting}
         self._patience.note(waiting, self.now)
-        for one in done.placements:
+        for one in planned.placements:
             self._place(one)
         self._views = views
 
-    def _place(self, one):
-        event = events.TaskPlaced(one.task, one.attempt, one.vm)
+    def _place(self, placement):
+        event = events.TaskPlaced(
+            placement.task, placement.attempt, placement.vm
+        )
         self._state.apply(event)
-        record = self._state.find_workload(one.task)
-        wanted = self._wanted[record.workload.job]
+        record = self._state.find_workload(placement.task)
+        submitted = self._submitted[record.workload.job]
         number = int(record.id.rpartition('.')[2])
-        uneven = 0.9 + 0.2 * self._draw(one, 'needs')
-        needs = wanted.seconds[number] * uneven
-        saved = self._saves.get(one.task, 0.0)
-        wait = START_SECONDS + (RESTORE_SECONDS if saved else 0.0)
-        self._runs[one.task] = Run(
-            one.task,
-            one.attempt,
-            one.vm,
+        variation = 0.9 + 0.2 * self._draw_random(placement, 'needs')
+        needs = submitted.seconds[number] * variation
+        saved = self._saved_seconds.get(placement.task, 0.0)
+        delay_seconds = START_DELAY_SECONDS + (
+            RESTORE_SECONDS if saved else 0.0
+        )
+        self._runs[placement.task] = Run(
+            placement.task,
+            placement.attempt,
+            placement.vm,
             needs,
             min(saved, needs),
             saved,
-            self.now + wait,
+            self.now + delay_seconds,
         )
-        self._begun[(one.task, one.attempt)] = self.now
+        self._placed_at[(placement.task, placement.attempt)] = self.now
 
     def _view_vms(self):
-        weigher = precedence.Weigher(self._state, self._now_ms, self.runtimes)
+        weigher = precedence.Weigher(self._state, self._now_ms, self.run_times)
         views = []
         for number, link in enumerate(self._links):
             vm = data.Vm(link.name, availability_zone=f'zone-{number % 3}')
-            reserved = self._state.reserved[link.name].add(SERVING)
-            view = vmview.VmView(vm, ROOM, reserved)
-            view.serving_milli = SERVING.cpu_milli
-            paces = {p.task: p.percent for p in link.paced}
-            left = self._bears(link.name)
+            reserved = self._state.reserved[link.name].add(SERVER_SIZE)
+            view = vmview.VmView(vm, VM_CAPACITY, reserved)
+            view.serving_milli = SERVER_SIZE.cpu_milli
+            percent_by_task = {p.task: p.percent for p in link.paced}
+            headroom = self._get_tolerated_press(link.name)
             for task in self._state.held[link.name].values():
                 record = self._state.find_workload(task.id)
                 view.count_fill(record.workload)
                 if not record.workload.fills:
                     continue
-                percent = paces.get(task.id, 100)
+                percent = percent_by_task.get(task.id, 100)
                 weight = weigher.weigh(record)
                 view.note_filling(record.workload, weight, percent / 100)
                 press = self._presses[record.workload.image]
-                left -= press * 7000 / ROOM.cpu_milli * percent / 100
+                headroom -= (
+                    press * 7000 / VM_CAPACITY.cpu_milli * percent / 100
+                )
             view.take_pairs(
-                self._pairs, [messages.Headroom('serve', max(0.0, left))]
+                self._press_model,
+                [messages.Headroom('serve', max(0.0, headroom))],
             )
             views.append(view)
         return views
 
-    def _move(self):
-        weigher = precedence.Weigher(self._state, self._now_ms, self.runtimes)
+    def _move_stuck_tasks(self):
+        weigher = precedence.Weigher(self._state, self._now_ms, self.run_times)
         stuck = rehoming.find_stuck(
             self._state,
             self._links,
-            lambda name: self._begun.get(name, 0.0),
+            lambda name: self._placed_at.get(name, 0.0),
             self.now,
             weigher,
         )
@@ -323,76 +342,76 @@
             self._shunned.note(task.id, task.vm, self.now)
             self._state.apply(events.TaskEvicting(task.id, task.attempt))
             run.stopping = True
-            run.ends_at = self.now + STOP_SECONDS
+            run.ends_at = self.now + STOP_DELAY_SECONDS
 
-    def _count(self):
-        """Return what callers got, by queue."""
+    def _make_tallies(self):
+        """Return a map of queue to ``overload_load.Tally``."""
         tallies = {
             overload_load.WIDE: overload_load.Tally(),
             overload_load.SMALL: overload_load.Tally(),
         }
-        for name, wanted in self._wanted.items():
-            if wanted.came + wanted.objective <= SECONDS:
-                tally = tallies[wanted.job.queue]
-                tally.count(wanted, self._ends.get(name))
+        for name, submitted in self._submitted.items():
+            if submitted.came + submitted.objective <= DURATION_SECONDS:
+                tally = tallies[submitted.job.queue]
+                tally.count(submitted, self._latencies.get(name))
         return tallies
 
 
 class Oracle(forecast.RunTimes):
-    """Knows the true run times, as nobody does: the limit."""
+    """Predicts the true run times, as an upper limit of any learning."""
 
     def __init__(self):
         super().__init__()
         self.seconds = {}
 
     def note(self, queue, record, run_ms):
-        """Learn nothing."""
+        """Ignore a run time; the true ones are known."""
 
     def predict(self, queue, record):
-        """Return how long a task of a step runs."""
+        """Return the true run time of a step's task, in ms."""
         job_id, _, number = jobs.split_step_id(record.id)
         return int(1000 * self.seconds[job_id][number])
 
 
-WAYS = {
+PREDICTORS = {
     'estimates': forecast.Estimates,
     'learnt': forecast.RunTimes,
     'oracle': Oracle,
 }
 
 
-def play(way, seed, load=1.0, estimates_off=0.9):
-    """Play one day.
+def simulate_day(predictor, seed, load=1.0, estimates_off=0.9):
+    """Simulate one day.
 
-    :param way: one of ``WAYS``
+    :param predictor: key of ``PREDICTORS``
     :returns: map of queue to ``overload_load.Tally``
     """
-    return Day(seed, load, estimates_off, WAYS[way]()).play()
+    return Day(seed, load, estimates_off, PREDICTORS[predictor]()).run()
 
 
 def main():
-    """Print what callers got by each way, at some loads."""
+    """Print the share of worth earned with each predictor and load."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--seeds', type=int, default=16)
     parser.add_argument('--loads', default='0.7,1.0,1.3')
     parser.add_argument('--off', type=float, default=0.9)
     arguments = parser.parse_args()
     for load in map(float, arguments.loads.split(',')):
-        for way in WAYS:
+        for predictor in PREDICTORS:
             days = [
-                play(way, seed, load, arguments.off)
+                simulate_day(predictor, seed, load, arguments.off)
                 for seed in range(arguments.seeds)
             ]
-            _print(load, way, days)
+            _print(load, predictor, days)
 
 
-def _print(load, way, days):
-    rows = []
+def _print(load, predictor, days):
+    shares = []
     for queue in (overload_load.WIDE, overload_load.SMALL):
         owed = sum(day[queue].owed for day in days)
         earned = sum(day[queue].earned for day in days)
-        rows.append(f'{queue} {earned / owed:.3f}')
-    print(f'{load} {way:10} {", ".join(rows)}', flush=True)
+        shares.append(f'{queue} {earned / owed:.3f}')
+    print(f'{load} {predictor:10} {", ".join(shares)}', flush=True)
 
 
 if __name__ == '__main__':
--- a/packages/testing/portwharf/testing/overload_day_test.py
+++ b/packages/testing/portwharf/testing/overload_day_test.py
@@ -1,51 +1,51 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What callers get on days of more work than there is room for.
+"""Learnt run times against clients' estimates under overload.
 
-Sums over the same seeds by each way. Learnt run times have to give callers at
-least what clients' estimates give where these are off by nine tenths, and lose
-nothing that counts where they are right.
+Results are summed over the same seeds. With learnt run times, jobs have to
+earn more than with clients' estimates that are off by up to nine tenths, and
+not noticeably less than with accurate estimates.
 """
 
 from portwharf.testing import overload_day
 from portwharf.testing import overload_load
 
 SEEDS = range(6)
-# Of what is owed, what one day in six is off by chance: one wide job in 25.
-CHANCE = 0.04
+# Random variation of the earned share over six days.
+RANDOM_VARIATION = 0.04
 
 
-def sum_shares(way, queue=overload_load.WIDE, **fields):
-    """Return the share that callers got over all seeds."""
-    whole = overload_load.Tally()
+def sum_shares(predictor, queue=overload_load.WIDE, **fields):
+    """Return the share of worth earned over all seeds."""
+    total = overload_load.Tally()
     for seed in SEEDS:
-        day = overload_day.play(way, seed, **fields)[queue]
-        whole.owed += day.owed
-        whole.earned += day.earned
-    return whole.share
+        day = overload_day.simulate_day(predictor, seed, **fields)[queue]
+        total.owed += day.owed
+        total.earned += day.earned
+    return total.share
 
 
-def test_callers_with_bad_estimates_get_more_by_what_was_learnt(case):
-    # Before and after, 12 seeds: 146.6 and 169.5 of worth, 178 and 204 jobs
-    # in time.
+def test_learnt_run_times_earn_more_than_bad_estimates(case):
     estimates = sum_shares('estimates', load=1.2)
     learnt = sum_shares('learnt', load=1.2)
     case.assertGreater(learnt, estimates)
 
 
-def test_callers_with_good_estimates_lose_nothing(case):
+def test_learnt_run_times_earn_as_much_as_good_estimates(case):
     estimates = sum_shares('estimates', load=0.7, estimates_off=0.05)
     learnt = sum_shares('learnt', load=0.7, estimates_off=0.05)
-    case.assertGreater(learnt, estimates - CHANCE)
+    case.assertGreater(learnt, estimates - RANDOM_VARIATION)
 
 
-def test_small_jobs_do_not_starve_beside_wide_ones(case):
+def test_wide_jobs_do_not_starve_small_ones(case):
     share = sum_shares('learnt', overload_load.SMALL, load=1.3)
     case.assertGreater(share, 0.95)
 
 
-def test_same_seed_brings_the_same_jobs(case):
+def test_same_seed_submits_the_same_jobs(case):
     one = overload_load.Clients(3, 1.0, 0.9)
     other = overload_load.Clients(3, 1.0, 0.9)
     for now in range(5):
-        case.assertEqual(one.come(now, 1.0), other.come(now, 1.0))
+        case.assertEqual(
+            one.submit_jobs(now, 1.0), other.submit_jobs(now, 1.0)
+        )
--- a/packages/testing/portwharf/testing/overload_load.py
+++ b/packages/testing/portwharf/testing/overload_load.py
@@ -1,10 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What comes on the days of ``overload_day``: jobs, as clients know them.
+"""Generates the jobs of the overload simulation in ``overload_day``.
 
-Wide jobs that fill, of some steps one after the other, and small ones that
-go first. Estimates of run times are off by up to a share either way. The same
-seed gives the same jobs, whatever is decided about them.
+Wide jobs have filling tasks, in several steps that run one after the other;
+small jobs take precedence over them. Estimates of run times are off by up to
+a given share in either direction. A seed yields the same jobs regardless of
+scheduling decisions.
 """
 
 import dataclasses
@@ -14,27 +15,29 @@
 from portwharf.core import data
 
 WIDE, SMALL = 'plans', 'checks'
-# Jobs a second of the small kind.
-SMALL_RATE = 2.0
+# Small jobs a second.
+SMALL_JOBS_PER_SECOND = 2.0
 STRETCH = 2.0
 ALLOWANCE_MS = 2000
-IMAGES = 18
+IMAGE_COUNT = 18
 MAX_FAILURES = 3
-# The mean work of a job in core-seconds, and what it is worth at the most.
-MEAN_WORK = {WIDE: 480.0, SMALL: 12.0}
-MOST_WORTH = 4.0
-# Of a job in time, what one that is late is worth, up to three objectives.
-LATE_WORTH = 0.15
-LATE_FACTOR = 3
+# Mean work of a job in core-seconds, by queue, and the limit of its worth.
+MEAN_WORK_CORE_SECONDS = {WIDE: 480.0, SMALL: 12.0}
+MAX_WORTH = 4.0
+# Share of its worth that a late job earns, if done within this many times
+# its objective.
+LATE_WORTH_SHARE = 0.15
+MAX_LATE_OBJECTIVES = 3
 
 
 @dataclasses.dataclass(slots=True)
-class Wanted:
-    """A job as its client knows it.
+class SubmittedJob:
+    """A submitted job with its true run times.
 
-    :param seconds: true run times by step
-    :param objective: by them, in seconds
-    :param work: core-seconds in all
+    :param seconds: true run time of a task, by step
+    :param objective: latency objective by the true run times, in seconds
+    :param work: work of all tasks, in core-seconds
+    :param came: time of submission, in seconds
     """
 
     job: data.Job = None
@@ -45,17 +48,17 @@
 
     @property
     def worth(self):
-        """What it is worth in time, by its work."""
-        share = self.work / MEAN_WORK[self.job.queue]
-        return min(MOST_WORTH, 0.3 + 0.7 * share)
+        """Value of the job if it meets its objective, by its work."""
+        share = self.work / MEAN_WORK_CORE_SECONDS[self.job.queue]
+        return min(MAX_WORTH, 0.3 + 0.7 * share)
 
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What callers got.
+    """Results for the jobs of one queue whose objective has passed.
 
-    :param owed: what jobs were worth whose objective was over
-    :param earned: of that
+    :param owed: worth of these jobs if all were in time
+    :param earned: worth of the jobs that were done
     """
 
     jobs: int = 0
@@ -66,41 +69,50 @@
 
     @property
     def share(self):
-        """What was earned of what was owed."""
+        """Share of the owed worth that was earned."""
         return self.earned / max(1e-9, self.owed)
 
-    def count(self, wanted, took):
-        """Count a job whose objective is over.
+    def count(self, submitted, latency_seconds):
+        """Count a job whose objective has passed.
 
-        :param took: seconds until it was done, or None
+        :param latency_seconds: seconds from its submission to its end, or None
         """
         self.jobs += 1
-        self.owed += wanted.worth
-        if took is None or took > LATE_FACTOR * wanted.objective:
+        self.owed += submitted.worth
+        if (
+            latency_seconds is None
+            or latency_seconds > MAX_LATE_OBJECTIVES * submitted.objective
+        ):
             return
-        if took <= wanted.objective:
+        if latency_seconds <= submitted.objective:
             self.in_time += 1
-            self.earned += wanted.worth
+            self.earned += submitted.worth
         else:
             self.late += 1
-            self.earned += LATE_WORTH * wanted.worth
+            self.earned += LATE_WORTH_SHARE * submitted.worth
 
 
 class Clients:
-    """Hands in jobs at random."""
+    """Submits jobs at random times."""
 
     def __init__(self, seed, rate, estimates_off):
-        """Take a seed, wide jobs a second, and how far estimates are off."""
+        """Take a seed and the rate of wide jobs a second.
+
+        :param estimates_off: maximum relative error of run time estimates
+        """
         self._random = random.Random(f'{seed} arrivals')
         self._rate = rate
-        self._off = estimates_off
+        self._estimates_off = estimates_off
         self._numbers = itertools.count()
 
-    def come(self, now, seconds):
-        """Return the :class:`Wanted` that come within some seconds."""
+    def submit_jobs(self, now, seconds):
+        """Return the jobs submitted within some seconds.
+
+        :returns: list of :class:`SubmittedJob`
+        """
         makers = (
             (self._rate, self._make_wide),
-            (SMALL_RATE, self._make_small),
+            (SMALL_JOBS_PER_SECOND, self._make_small),
         )
         return [
             make(now)
@@ -111,7 +123,7 @@
     def _make_wide(self, now):
         rnd = self._random
         steps = max(1, min(4, round(rnd.gauss(2.0, 0.8))))
-        image = f'fill-{rnd.randrange(IMAGES)}'
+        image = f'fill-{rnd.randrange(IMAGE_COUNT)}'
         rows = []
         for _ in range(steps):
             count = int(max(2, min(60, rnd.lognormvariate(2.4, 0.6))))
@@ -125,36 +137,43 @@
         return self._make_job(SMALL, 0, rows, '', now)
 
     def _make_job(self, queue, rank, rows, image, now):
-        """Make a job of steps, each of a count, milliprocessors and seconds.
+        """Return a job as a :class:`SubmittedJob`.
 
-        :param image: what its tasks run, if they fill, else ''
+        :param rows: (task count, milliprocessors, true seconds) of each step
+        :param image: image of filling tasks, or '' for tasks that don't fill
         """
         steps = [
             self._make_step(number, *row, image)
             for number, row in enumerate(rows)
         ]
-        chain = sum(one.run_ms for one in steps)
-        seconds = [true for _, _, true in rows]
+        critical_path_ms = sum(step.run_ms for step in steps)
+        run_seconds = [true_seconds for _, _, true_seconds in rows]
         job = data.Job(
             f'{queue}-{next(self._numbers):04d}',
             queue,
             rank,
             b'',
             steps,
-            int(STRETCH * chain) + ALLOWANCE_MS,
+            int(STRETCH * critical_path_ms) + ALLOWANCE_MS,
             stretch=STRETCH,
             allowance_ms=ALLOWANCE_MS,
         )
-        work = sum(n * milli * true / 1000 for n, milli, true in rows)
-        objective = STRETCH * sum(seconds) + ALLOWANCE_MS / 1000
-        return Wanted(job, seconds, objective, work, now)
+        core_seconds = sum(
+            n * milli * true_seconds / 1000 for n, milli, true_seconds in rows
+        )
+        objective_seconds = STRETCH * sum(run_seconds) + ALLOWANCE_MS / 1000
+        return SubmittedJob(
+            job, run_seconds, objective_seconds, core_seconds, now
+        )
 
-    def _make_step(self, number, count, milli, true, image):
-        off = 1 + self._random.uniform(-self._off, self._off)
+    def _make_step(self, number, count, milli, true_seconds, image):
+        error = 1 + self._random.uniform(
+            -self._estimates_off, self._estimates_off
+        )
         return data.Workload(
             count=count,
             resources=data.Resources(milli, 2 * milli),
-            run_ms=max(50, int(1000 * true * off)),
+            run_ms=max(50, int(1000 * true_seconds * error)),
             fills=bool(image),
             image=image,
             program=image,
