--- a/packages/testing/portwharf/testing/slopes.py
+++ b/packages/testing/portwharf/testing/slopes.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""``make slopes``: what one more of each thing costs.
+"""Measures marginal costs for capacity planning (``make slopes``).
 
-Runs the Kinh Sang deployment on loopback and reads processor time and
-memory of its processes from the kernel; sizes of messages and of state are
-measured in this process. ``docs/CAPACITY.md`` works from these numbers.
-Exit code 1 if a bound that the users set is exceeded.
+Runs the Kinh Sang deployment on loopback and reads processor time and memory
+of its processes from the kernel. Sizes of messages and of state are measured
+in this process. ``docs/CAPACITY.md`` is based on these numbers. The exit
+code is 1 if a bound from the users' requirements is exceeded.
 """
 
 import base64
@@ -35,22 +35,22 @@
 from portwharf.v1 import operators_pb as pb
 
 IDLE_SECONDS = 15
-STARTS = 600
-REQUESTS = 3000
-TASKS = 10_000
-# About what a worker runs at the letter's size.
-RUNNING_A_VM = 20
+START_COUNT = 600
+REQUEST_COUNT = 3000
+TASK_COUNT = 10_000
+# Tasks that run on one worker at the size the requirements name.
+RUNNING_TASKS_PER_VM = 20
 MAX_SIDE_MB = 45
 MAX_ENTRY_MB = 60
 MAX_START_MS = 3.0
-_CALLERS = 8
-_TICKS = os.sysconf('SC_CLK_TCK')
-_OPERATORS = 'portwharf.v1.OperatorService'
+_CALLER_THREADS = 8
+_TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
+_OPERATOR_SERVICE = 'portwharf.v1.OperatorService'
 
 
 @dataclasses.dataclass(slots=True)
 class Slope:
-    """One measured number, and the bound on it if there is one."""
+    """One measured value and its upper bound; 0 means no bound."""
 
     name: str = ''
     value: float = 0.0
@@ -59,17 +59,17 @@
 
     @property
     def over(self):
-        """Whether it exceeds its bound."""
+        """Whether the value exceeds its bound."""
         return bool(self.most) and self.value > self.most
 
 
 class Meter:
-    """Measures a running deployment."""
+    """Measures the processes of a running deployment."""
 
     def __init__(self, deployment):
         self._deployment = deployment
         self._client = operators.Client(
-            [_split(place) for place in deployment.entries]
+            [_split_address(endpoint) for endpoint in deployment.entries]
         )
         self._sides = [
             name for name in deployment.processes if name.startswith('vm-')
@@ -81,7 +81,7 @@
     def measure(self):
         """Return all slopes that need running processes."""
         self._submit('fit-check', 'KIND_SERVICE', len(self._sides))
-        self._wait(lambda: self._count('running') == len(self._sides))
+        self._wait(lambda: self._count_tasks('running') == len(self._sides))
         owner = self._read_owner()
         others = [name for name in self._sides if name != owner]
         slopes = self._measure_idle(owner, others)
@@ -93,26 +93,36 @@
         return slopes
 
     def _measure_idle(self, owner, others):
-        spent = self._measure_time(lambda: time.sleep(IDLE_SECONDS))
-        share = {name: 100 * s / IDLE_SECONDS for name, s in spent.items()}
-        side = statistics.median(share[name] for name in others)
-        entry = statistics.median(share[name] for name in self._entries)
-        extra = (share[owner] - side) / len(self._sides)
-        rss = {name: self._read_rss(name) for name in spent}
+        cpu_seconds = self._measure_cpu_seconds(
+            lambda: time.sleep(IDLE_SECONDS)
+        )
+        percent = {
+            name: 100 * s / IDLE_SECONDS for name, s in cpu_seconds.items()
+        }
+        side_percent = statistics.median(percent[name] for name in others)
+        entry_percent = statistics.median(
+            percent[name] for name in self._entries
+        )
+        percent_per_member = (percent[owner] - side_percent) / len(self._sides)
+        resident_mb = {
+            name: self._read_resident_mb(name) for name in cpu_seconds
+        }
         return [
-            Slope('side, idle', side, '% of a core', 1.1),
-            Slope('owner, idle, per member', extra, '% of a core'),
-            Slope('entry, idle', entry, '% of a core', 1.1),
+            Slope('side, idle', side_percent, '% of a core', 1.1),
+            Slope(
+                'owner, idle, per member', percent_per_member, '% of a core'
+            ),
+            Slope('entry, idle', entry_percent, '% of a core', 1.1),
             Slope(
                 'side, resident',
-                max(rss[name] for name in others),
+                max(resident_mb[name] for name in others),
                 'MB',
                 MAX_SIDE_MB,
             ),
-            Slope('owner, resident', rss[owner], 'MB'),
+            Slope('owner, resident', resident_mb[owner], 'MB'),
             Slope(
                 'entry, resident',
-                max(rss[name] for name in self._entries),
+                max(resident_mb[name] for name in self._entries),
                 'MB',
                 MAX_ENTRY_MB,
             ),
@@ -120,98 +130,124 @@
 
     def _measure_starts(self, owner, others):
         def run():
-            self._submit('tiny', 'KIND_BATCH', STARTS)
-            self._wait(lambda: self._count('succeeded') == STARTS)
+            self._submit('tiny', 'KIND_BATCH', START_COUNT)
+            self._wait(lambda: self._count_tasks('succeeded') == START_COUNT)
 
         began = time.monotonic()
-        spent = self._measure_time(run)
-        took = time.monotonic() - began
-        side = sum(spent[name] for name in others) / STARTS
+        cpu_seconds = self._measure_cpu_seconds(run)
+        elapsed_seconds = time.monotonic() - began
+        side_seconds = sum(cpu_seconds[name] for name in others) / START_COUNT
         return [
-            Slope('starts in a row', STARTS / took, 'a second'),
+            Slope(
+                'starts in a row', START_COUNT / elapsed_seconds, 'a second'
+            ),
             Slope(
                 'owner, a start and its end',
-                1000 * spent[owner] / STARTS,
+                1000 * cpu_seconds[owner] / START_COUNT,
                 'ms',
                 MAX_START_MS,
             ),
-            Slope('sides, a start and its end', 1000 * side, 'ms'),
+            Slope('sides, a start and its end', 1000 * side_seconds, 'ms'),
         ]
 
     def _measure_requests(self, others):
         def run():
-            with concurrent.futures.ThreadPoolExecutor(_CALLERS) as pool:
-                list(pool.map(self._send, range(REQUESTS)))
-
-        spent = self._measure_time(run)
-        entries = sum(spent[name] for name in self._entries)
-        sides = sum(spent[name] for name in self._sides)
+            with concurrent.futures.ThreadPoolExecutor(
+                _CALLER_THREADS
+            ) as pool:
+                list(pool.map(self._send, range(REQUEST_COUNT)))
+
+        cpu_seconds = self._measure_cpu_seconds(run)
+        entry_seconds = sum(cpu_seconds[name] for name in self._entries)
+        side_seconds = sum(cpu_seconds[name] for name in self._sides)
         return [
-            Slope('entry, a request', 1000 * entries / REQUESTS, 'ms'),
-            Slope('side, a request', 1000 * sides / REQUESTS, 'ms'),
+            Slope(
+                'entry, a request', 1000 * entry_seconds / REQUEST_COUNT, 'ms'
+            ),
+            Slope(
+                'side, a request', 1000 * side_seconds / REQUEST_COUNT, 'ms'
+            ),
             Slope(
                 'both hops, a request',
-                1000 * (entries + sides) / REQUESTS,
+                1000 * (entry_seconds + side_seconds) / REQUEST_COUNT,
                 'ms',
             ),
         ]
 
     def _measure_configuration(self):
-        """Return how long a change takes to be in force everywhere."""
+        """Measure how long a new configuration takes to be in force."""
         text = '[weights]\nevictions = 1.5\n'
         began = time.monotonic()
         req = pb.ProposeConfigRequest(text=text)
         self._call('ProposeConfig', req, pb.ProposeConfigResponse)
 
         def in_force():
-            got = self._call(
+            config_status = self._call(
                 'ConfigStatus',
                 pb.ConfigStatusRequest(),
                 pb.ConfigStatusResponse,
             )
-            return all(one.revision == got.revision for one in got.processes)
+            return all(
+                process.revision == config_status.revision
+                for process in config_status.processes
+            )
 
         self._wait(in_force, 0.05)
-        took = time.monotonic() - began
-        return [Slope('configuration in force everywhere', took, 's', 10)]
+        elapsed_seconds = time.monotonic() - began
+        return [
+            Slope(
+                'configuration in force everywhere', elapsed_seconds, 's', 10
+            )
+        ]
 
     def _measure_running(self, owner, others, slopes):
-        """Return what a running task costs side and owner."""
-        idle = {slope.name: slope.value for slope in slopes}
-        count = RUNNING_A_VM * len(self._sides)
+        """Measure the processor time a running task costs side and owner."""
+        idle_values = {slope.name: slope.value for slope in slopes}
+        count = RUNNING_TASKS_PER_VM * len(self._sides)
         self._submit('long', 'KIND_BATCH', count, b'100000 0.2', 100)
         replicas = len(self._sides)
-        self._wait(lambda: self._count('running') == count + replicas)
-        spent = self._measure_time(lambda: time.sleep(IDLE_SECONDS))
-        share = {name: 100 * s / IDLE_SECONDS for name, s in spent.items()}
-        side = statistics.median(share[name] for name in others)
-        more = (side - idle['side, idle']) / RUNNING_A_VM
-        extra = (share[owner] - side) / len(self._sides)
-        extra -= idle['owner, idle, per member']
+        self._wait(lambda: self._count_tasks('running') == count + replicas)
+        cpu_seconds = self._measure_cpu_seconds(
+            lambda: time.sleep(IDLE_SECONDS)
+        )
+        percent = {
+            name: 100 * s / IDLE_SECONDS for name, s in cpu_seconds.items()
+        }
+        side_percent = statistics.median(percent[name] for name in others)
+        percent_per_task = (
+            side_percent - idle_values['side, idle']
+        ) / RUNNING_TASKS_PER_VM
+        percent_per_member = (percent[owner] - side_percent) / len(self._sides)
+        percent_per_member -= idle_values['owner, idle, per member']
         return [
-            Slope('side, a running task', more, '% of a core'),
+            Slope('side, a running task', percent_per_task, '% of a core'),
             Slope(
                 'owner, a running task',
-                extra * len(self._sides) / count,
+                percent_per_member * len(self._sides) / count,
                 '% of a core',
             ),
-            Slope('owner, resident, then', self._read_rss(owner), 'MB'),
+            Slope(
+                'owner, resident, then', self._read_resident_mb(owner), 'MB'
+            ),
         ]
 
     def _measure_urgent(self):
-        """Return how long urgent work takes to start when all is full."""
+        """Measure how long an urgent task takes to start on full VMs."""
         spec = self._deployment.spec['vm']
-        size = spec['cpu_milli'] - 1000 - 100 * RUNNING_A_VM
+        size = spec['cpu_milli'] - 1000 - 100 * RUNNING_TASKS_PER_VM
         self._submit('filler', 'KIND_BATCH', 64, b'100000 0.2', size // 2)
-        self._wait(lambda: self._count('waiting') > 0)
+        self._wait(lambda: self._count_tasks('waiting') > 0)
         began = time.monotonic()
         self._submit('urgent', 'KIND_BATCH', 1, b'1 0.01', size, urgent=True)
-        self._wait(lambda: self._find_start(size) > 0, 0.05)
-        took = self._find_start(size) - began
-        return [Slope('urgent start, all full', took, 's', 5.7)]
+        self._wait(lambda: self._find_start_time(size) > 0, 0.05)
+        elapsed_seconds = self._find_start_time(size) - began
+        return [Slope('urgent start, all full', elapsed_seconds, 's', 5.7)]
 
-    def _find_start(self, size):
-        """Return when a task of a size began on any worker, or 0."""
+    def _find_start_time(self, size):
+        """Return when a task of a size started on any worker, or 0.0.
+
+        :param size: the task's processors, in thousandths
+        """
         for number in range(len(self._sides)):
             url = self._deployment.get_url('worker', number) + '/record'
             for row in self._deployment.fetch(url)['spans']:
@@ -219,40 +255,42 @@
                     return row['start']
         return 0.0
 
-    def _measure_time(self, work):
-        """Return the processor seconds of each process during work."""
+    def _measure_cpu_seconds(self, call):
+        """Return a map of process to processor seconds used in a call."""
         names = self._sides + self._entries
-        before = {name: self._read_time(name) for name in names}
-        work()
-        return {name: self._read_time(name) - before[name] for name in names}
+        before = {name: self._read_cpu_seconds(name) for name in names}
+        call()
+        return {
+            name: self._read_cpu_seconds(name) - before[name] for name in names
+        }
 
-    def _read_time(self, name):
+    def _read_cpu_seconds(self, name):
         path = f'/proc/{self._deployment.read_pid(name)}/stat'
         fields = pathlib.Path(path).read_text().rpartition(')')[2].split()
-        return (int(fields[11]) + int(fields[12])) / _TICKS
+        return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
-    def _read_rss(self, name):
+    def _read_resident_mb(self, name):
         path = f'/proc/{self._deployment.read_pid(name)}/status'
         for line in pathlib.Path(path).read_text().splitlines():
             if line.startswith('VmRSS:'):
                 return int(line.split()[1]) / 1024
-        raise RuntimeError(f'{name} has no resident size')
+        raise RuntimeError(f'/proc status of {name} has no line VmRSS')
 
     def _read_owner(self):
-        got = self._call(
+        cluster_status = self._call(
             'ClusterStatus',
             pb.ClusterStatusRequest(),
             pb.ClusterStatusResponse,
         )
-        return got.shards[0].owner
+        return cluster_status.shards[0].owner
 
-    def _count(self, field):
+    def _count_tasks(self, field):
         listed = self._call(
             'ListWorkloads',
             pb.ListWorkloadsRequest(),
             pb.ListWorkloadsResponse,
         )
-        return sum(getattr(one, field) for one in listed.workloads)
+        return sum(getattr(workload, field) for workload in listed.workloads)
 
     def _submit(
         self,
@@ -295,74 +333,83 @@
 
     def _call(self, method, req, answer_class):
         return self._client.call(
-            _OPERATORS, method, req, answer_class
+            _OPERATOR_SERVICE, method, req, answer_class
         ).unwrap()
 
-    def _wait(self, holds, pause=0.5):
+    def _wait(self, is_reached, interval_seconds=0.5):
         deadline = time.monotonic() + 120
-        while not holds():
+        while not is_reached():
             if time.monotonic() > deadline:
-                raise RuntimeError('the deployment does not get on')
-            time.sleep(pause)
+                raise RuntimeError(
+                    'the deployment did not reach the expected state in 120 s'
+                )
+            time.sleep(interval_seconds)
 
 
 def measure_sizes():
-    """Return the sizes of messages and of state."""
+    """Measure the sizes of messages, log entries and state."""
     task = f'0-{ids.make_id()}.17'
     size = data.Resources(3000, 4000, 1)
-    beat = messages.Heartbeat(10**9, 10**9, 7, size)
+    heartbeat = messages.Heartbeat(10**9, 10**9, 7, size)
     start = messages.StartTask(
         7, task, 1, 2, 'lens/overnight', True, size, 'plan', b'60 0.05'
     )
     report = messages.TaskReport(task, 1, 'succeeded', result=b'1' * 20)
     rows = [
-        ('heartbeat', beat),
+        ('heartbeat', heartbeat),
         ('grant', messages.Grant(10**9, 10**9, 7, True)),
         ('start command', start),
         ('report of one attempt', messages.Reports(reports=[report])),
         ('side state to an entry', messages.SideState(['lens/fit'], slots=8)),
     ]
     slopes = [
-        Slope(name, len(_frame(message)), 'bytes') for name, message in rows
+        Slope(name, len(_pack_message(message)), 'bytes')
+        for name, message in rows
     ]
-    placed = [
+    start_and_end = [
         events.TaskPlaced(task, 1, 'vm-00'),
         events.DecisionMade(_make_decision(task)),
         events.TaskEnded(task, 1, 'succeeded', b'1' * 20),
     ]
-    raw = msgpack.packb(events.write_events(placed))
-    slopes.append(Slope('log, a start and its end', len(raw), 'bytes'))
+    packed = msgpack.packb(events.write_events(start_and_end))
+    slopes.append(Slope('log, a start and its end', len(packed), 'bytes'))
     return slopes + _measure_state()
 
 
 def _measure_state():
-    """Return memory and snapshot bytes of waiting and running tasks."""
+    """Measure memory and snapshot bytes of waiting and running tasks."""
     tracemalloc.start()
-    made = state.ShardState()
-    first = tracemalloc.get_traced_memory()[0]
-    for number in range(TASKS):
+    shard_state = state.ShardState()
+    empty_bytes = tracemalloc.get_traced_memory()[0]
+    for number in range(TASK_COUNT):
         workload = fixtures.make_workload(name=f'job-{number}')
-        made.apply(
+        shard_state.apply(
             events.WorkloadAccepted(f'0-{number}', workload.key, 5, workload)
         )
-    second = tracemalloc.get_traced_memory()[0]
-    for number in range(TASKS):
-        made.apply(events.TaskPlaced(f'0-{number}.0', 1, 'vm-00'))
-    third = tracemalloc.get_traced_memory()[0]
+    waiting_bytes = tracemalloc.get_traced_memory()[0]
+    for number in range(TASK_COUNT):
+        shard_state.apply(events.TaskPlaced(f'0-{number}.0', 1, 'vm-00'))
+    placed_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    raw = made.pack()
+    packed = shard_state.pack()
     began = time.process_time()
-    state.ShardState.unpack(raw)
-    spent = time.process_time() - began
+    state.ShardState.unpack(packed)
+    cpu_seconds = time.process_time() - began
     return [
         Slope(
             'state, a waiting job of one task',
-            (second - first) / TASKS,
+            (waiting_bytes - empty_bytes) / TASK_COUNT,
             'bytes',
         ),
-        Slope('state, a placed task more', (third - second) / TASKS, 'bytes'),
-        Slope('snapshot, a placed task', len(raw) / TASKS, 'bytes'),
-        Slope('snapshot, reading a task', 1e6 * spent / TASKS, 'us'),
+        Slope(
+            'state, a placed task more',
+            (placed_bytes - waiting_bytes) / TASK_COUNT,
+            'bytes',
+        ),
+        Slope('snapshot, a placed task', len(packed) / TASK_COUNT, 'bytes'),
+        Slope(
+            'snapshot, reading a task', 1e6 * cpu_seconds / TASK_COUNT, 'us'
+        ),
     ]
 
 
@@ -377,18 +424,18 @@
     )
 
 
-def _frame(message):
+def _pack_message(message):
     kind = messages.NAMES[type(message)]
     return msgpack.packb([kind, codec.to_map(message)])
 
 
-def _split(place):
-    address, _, port = place.rpartition(':')
+def _split_address(endpoint):
+    address, _, port = endpoint.rpartition(':')
     return address, int(port)
 
 
 def main():
-    """Measure, print a table, and tell whether a bound is exceeded."""
+    """Run all measurements, print a table, and check the bounds."""
     example = pathlib.Path(__file__).parents[4] / 'examples/kinh-sang.toml'
     slopes = measure_sizes()
     with tempfile.TemporaryDirectory(prefix='portwharf-') as folder:
@@ -396,8 +443,8 @@
             slopes = Meter(deployment).measure() + slopes
     for slope in slopes:
         bound = f'  (at most {slope.most:g})' if slope.most else ''
-        over = '  EXCEEDED' if slope.over else ''
-        print(f'{slope.name:34} {slope.value:10.3f} {slope.unit}{bound}{over}')
+        mark = '  EXCEEDED' if slope.over else ''
+        print(f'{slope.name:34} {slope.value:10.3f} {slope.unit}{bound}{mark}')
     return 1 if any(slope.over for slope in slopes) else 0
 
 
--- a/packages/testing/portwharf/testing/soak.py
+++ b/packages/testing/portwharf/testing/soak.py
@@ -1,14 +1,15 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""``make soak``: real programs under faults from outside, by seeds.
-
-Processes are killed, paused, stopped and started; relays cut, delay, hold
-back one way or both; open connections go silent for good; the store is
-down, slow, loses answers, leases, keys and its history; runners crash, by
-themselves and under tasks that crash them, fall silent, shrink and grow,
-carry orders out late, and are heard of after their end. Faults come in series
-and overlap. At the end all is healed, the work has to come to its end, and
-what clients and runners saw is checked.
+"""Soak test with fault injection on real processes (``make soak``).
+
+The seed determines a schedule of faults, which overlap. Processes are killed,
+paused, stopped and started. Relays cut connections, delay data, or hold it
+back in one direction or both; open connections go silent for good. The store
+is down or slow, or loses answers, leases, keys or its history. Runners crash
+by themselves or because of a task, fall silent, change their capacity, carry
+out orders late, and send heartbeats of lives that are over. At the end all
+faults are healed, all jobs have to reach their final state, and the records
+of clients and runners are checked.
 """
 
 import argparse
@@ -29,42 +30,42 @@
 from portwharf.testing import soak_targets
 from portwharf.testing import soak_world
 
-SECONDS = 20.0
+DURATION_SECONDS = 20.0
 CLIENTS = 4
-_BETWEEN_SECONDS = 1.6
-_HUSH_SHARE = 0.15
+_MAX_FAULT_INTERVAL_SECONDS = 1.6
+_SILENCE_SHARE = 0.15
 _RESIZE_SHARE = 0.25
-_ZONE_SHARE = 0.2
+_ZONE_CLOSURE_SHARE = 0.2
 _SETTLE_SECONDS = 90.0
-_SEEDS = pathlib.Path(__file__).parent / 'soak_seeds.toml'
+_SEEDS_PATH = pathlib.Path(__file__).parent / 'soak_seeds.toml'
 
 
 @dataclasses.dataclass(slots=True)
-class Heal:
-    """What undoes a fault, and when."""
+class Recovery:
+    """The action that ends a fault, and its time."""
 
     at: float = 0.0
     action: object = None
 
 
 class Soak:
-    """One seed: a schedule, the work under it, and what came of it."""
+    """The run of one seed: its faults, its clients and the checks."""
 
     def __init__(self, world, seed, crashers=True):
         """Take a started ``soak_world.World`` and a seed.
 
-        :param crashers: tasks crash runners, and rooms shrink, as well;
-            not in seeds that failed before there were any
+        :param crashers: some tasks crash runners, runners shrink and zones
+            close as well; False for kept seeds, which are older
         """
         self._world = world
         self._seed = seed
         self._random = random.Random(seed)
-        # Drawn apart, so that known seeds keep their schedules.
-        self._hushes = random.Random(-1 - seed)
-        self._rooms = random.Random(-2 - seed) if crashers else None
-        self._zones = random.Random(-3 - seed) if crashers else None
+        # Separate generators, so that known seeds keep their schedules.
+        self._silence_random = random.Random(-1 - seed)
+        self._capacity_random = random.Random(-2 - seed) if crashers else None
+        self._zone_random = random.Random(-3 - seed) if crashers else None
         self._closures = []
-        self._heals = []
+        self._recoveries = []
         self._busy = set()
         self._lock = threading.Lock()
         self.faults = 0
@@ -75,38 +76,44 @@
         ]
 
     def run(self, seconds):
-        """Run the schedule, heal all, and check."""
+        """Inject faults for some seconds, heal all, and run the checks."""
         began = time.monotonic()
         if not self.clients[0].wait_until_served():
-            self.problems.append('not served within the time to get ready')
+            self.problems.append(
+                'the entries did not serve requests in time after the start'
+            )
             return
-        first = self.clients[0]
-        number = self._seed * soak_targets.NUMBERS_A_SEED
-        served = soak_targets.make_job(first, number, False).accepted
+        first_client = self.clients[0]
+        first_job_id = self._seed * soak_targets.JOB_IDS_PER_SEED
+        servers_accepted = soak_targets.make_job(
+            first_client, first_job_id, False
+        ).accepted
         for client in self.clients:
             client.start()
         while time.monotonic() - began < seconds:
-            time.sleep(self._random.uniform(0.2, 1.0) * _BETWEEN_SECONDS)
-            self._heal_due(time.monotonic())
-            self._do_fault()
-            self._hush()
-            self._resize()
+            time.sleep(
+                self._random.uniform(0.2, 1.0) * _MAX_FAULT_INTERVAL_SECONDS
+            )
+            self._run_due_recoveries(time.monotonic())
+            self._inject_fault()
+            self._silence_connections()
+            self._shrink_runner()
             self._close_zone()
         for client in self.clients:
             client.stop()
-        self._heal_due(float('inf'))
+        self._run_due_recoveries(float('inf'))
         for client in self.clients:
             client.join()
-        if served:
+        if servers_accepted:
             self.problems += soak_targets.check_targets(
-                self._world, first, number + self._seed % 4 + 1
+                self._world, first_client, first_job_id + self._seed % 4 + 1
             )
-        self._settle()
-        self._check()
+        self._wait_for_jobs()
+        self._run_checks()
 
     # Faults.
 
-    def _do_fault(self):
+    def _inject_fault(self):
         fault = self._random.choice(_FAULTS)
         name = fault.__name__.strip('_')
         if not fault(self):
@@ -115,11 +122,11 @@
         print(f'  {time.monotonic():.1f} {name}', flush=True)
 
     def _kill(self):
-        program = self._pick(self._world.programs.values())
+        program = self._pick_idle(self._world.programs.values())
         if program is None:
             return False
         self._world.kill(program)
-        return self._heal(
+        return self._recover_later(
             program, 0.2, 4.0, lambda: self._world.start(program)
         )
 
@@ -130,92 +137,110 @@
             self._busy.add(program.name)
             self._world.kill(program)
         for program in self._world.sides:
-            self._heal(
+            self._recover_later(
                 program, 0.5, 2.0, lambda one=program: self._world.start(one)
             )
         return True
 
     def _stop(self):
-        program = self._pick(self._world.programs.values())
+        program = self._pick_idle(self._world.programs.values())
         if program is None:
             return False
         if not self._world.stop(program):
-            self.problems.append(f'{program.name} did not stop in its time')
-        return self._heal(
+            self.problems.append(
+                f'{program.name} did not stop within its grace period'
+            )
+        return self._recover_later(
             program, 0.1, 0.5, lambda: self._world.start(program)
         )
 
     def _pause(self):
-        program = self._pick(self._world.programs.values())
+        program = self._pick_idle(self._world.programs.values())
         if program is None:
             return False
         self._world.pause(program, True)
-        return self._heal(
+        return self._recover_later(
             program, 0.5, 8.0, lambda: self._world.pause(program, False)
         )
 
-    def _cut_peers(self):
-        return self._harm(lambda one: one.peers, self._world.sides)
+    def _disturb_peers(self):
+        return self._disturb_relay(lambda one: one.peers, self._world.sides)
 
-    def _cut_store(self):
-        return self._harm(
+    def _disturb_store_relay(self):
+        return self._disturb_relay(
             lambda one: one.store, list(self._world.programs.values())
         )
 
-    def _harm(self, find_relay, programs):
-        """Harm one relay: reset, delay, hold back one way or both."""
+    def _disturb_relay(self, find_relay, programs):
+        """Disturb a relay: reset, delay, or hold data back.
+
+        :param find_relay: function from a program to its relay
+        :returns: whether a relay was free to be disturbed
+        """
         program = self._random.choice(programs)
-        made = find_relay(program)
-        if id(made) in self._busy:
+        relay = find_relay(program)
+        if id(relay) in self._busy:
             return False
-        self._busy.add(id(made))
-        way = self._random.choice(('reset', 'delay', 'onward', 'back', 'both'))
-        if way == 'reset':
-            made.refusing = True
-            made.cut()
-        elif way == 'delay':
-            made.delay = self._random.uniform(0.05, 0.4)
+        self._busy.add(id(relay))
+        mode = self._random.choice(
+            ('reset', 'delay', 'onward', 'back', 'both')
+        )
+        if mode == 'reset':
+            relay.refusing = True
+            relay.cut()
+        elif mode == 'delay':
+            relay.delay = self._random.uniform(0.05, 0.4)
         else:
-            made.silence_ways(way != 'back', way != 'onward')
+            relay.silence_ways(mode != 'back', mode != 'onward')
 
         def mend():
-            made.refusing = False
-            made.delay = 0.0
-            made.silence(False)
-            self._busy.discard(id(made))
+            relay.refusing = False
+            relay.delay = 0.0
+            relay.silence(False)
+            self._busy.discard(id(relay))
 
-        self._heal_later(0.5, 7.0, mend)
+        self._schedule_recovery(0.5, 7.0, mend)
         return True
 
-    def _hush(self):
-        """Now and then have open connections go silent, of one or all."""
-        if self._hushes.random() > _HUSH_SHARE:
+    def _silence_connections(self):
+        """At random, silence the open connections of one program or all."""
+        if self._silence_random.random() > _SILENCE_SHARE:
             return
         programs = list(self._world.programs.values())
-        if self._hushes.random() < 0.5:
-            programs = [self._hushes.choice(programs)]
+        if self._silence_random.random() < 0.5:
+            programs = [self._silence_random.choice(programs)]
         self.faults += 1
         print(f'  {time.monotonic():.1f} hush {len(programs)}', flush=True)
         for program in programs:
             program.hush()
 
-    def _resize(self):
-        """Now and then have a runner's room shrink for a while."""
-        if self._rooms is None or self._rooms.random() > _RESIZE_SHARE:
+    def _shrink_runner(self):
+        """At random, shrink a runner's capacity for a while."""
+        if (
+            self._capacity_random is None
+            or self._capacity_random.random() > _RESIZE_SHARE
+        ):
             return
-        runner = self._rooms.choice(self._world.sides).runner
-        whole = soak_runner.CPU_MILLI
-        runner.cpu_milli = int(whole * self._rooms.uniform(0.1, 0.7))
+        runner = self._capacity_random.choice(self._world.sides).runner
+        full_cpu_milli = soak_runner.CPU_MILLI
+        runner.cpu_milli = int(
+            full_cpu_milli * self._capacity_random.uniform(0.1, 0.7)
+        )
         self.faults += 1
         print(f'  {time.monotonic():.1f} shrink', flush=True)
-        self._heal_later(1.0, 8.0, lambda: setattr(runner, 'cpu_milli', whole))
+        self._schedule_recovery(
+            1.0, 8.0, lambda: setattr(runner, 'cpu_milli', full_cpu_milli)
+        )
 
     def _close_zone(self):
-        """Now and then close an availability zone to new starts."""
-        if self._zones is None or self._zones.random() > _ZONE_SHARE:
+        """At random, close an availability zone to new starts for a while."""
+        if (
+            self._zone_random is None
+            or self._zone_random.random() > _ZONE_CLOSURE_SHARE
+        ):
             return
-        zone = f'zone-{self._zones.randrange(soak_world.ZONES)}'
-        if any(one.zone == zone for one in self._closures):
+        zone = f'zone-{self._zone_random.randrange(soak_world.ZONE_COUNT)}'
+        if any(other.zone == zone for other in self._closures):
             return
         closure = soak_checks.Closure(zone, time.monotonic())
         self._world.close_zone(zone, True)
@@ -223,13 +248,13 @@
         self.faults += 1
         print(f'  {time.monotonic():.1f} close {zone}', flush=True)
 
-        def take_back():
+        def reopen():
             closure.ended = time.monotonic()
             self._world.close_zone(zone, False)
 
-        self._heal_later(3.0, 12.0, take_back)
+        self._schedule_recovery(3.0, 12.0, reopen)
 
-    def _harm_store(self):
+    def _disturb_store(self):
         faults = self._world.store.faults
         if faults.down or faults.lost or faults.slow_seconds:
             return False
@@ -249,10 +274,10 @@
             faults.down = faults.lost = False
             faults.slow_seconds = 0.0
 
-        self._heal_later(0.5, 6.0, mend)
+        self._schedule_recovery(0.5, 6.0, mend)
         return True
 
-    def _revoke(self):
+    def _revoke_registration(self):
         program = self._random.choice(list(self._world.programs.values()))
         self._world.store.revoke(f'vms/{program.name}')
         return True
@@ -266,15 +291,17 @@
         if runner.silent:
             return False
         runner.silent = True
-        self._heal_later(0.5, 9.0, lambda: setattr(runner, 'silent', False))
+        self._schedule_recovery(
+            0.5, 9.0, lambda: setattr(runner, 'silent', False)
+        )
         return True
 
     def _delay_orders(self):
         self._random.choice(self._world.sides).runner.late_starts = 3
         return True
 
-    def _pick(self, programs):
-        """Return a process that nothing is wrong with, or None."""
+    def _pick_idle(self, programs):
+        """Return a random process without a fault, or None; mark it busy."""
         free = [one for one in programs if one.name not in self._busy]
         if not free:
             return None
@@ -282,70 +309,72 @@
         self._busy.add(program.name)
         return program
 
-    def _heal(self, program, least, most, action):
+    def _recover_later(self, program, min_seconds, max_seconds, action):
         def mend():
             action()
             self._busy.discard(program.name)
 
-        self._heal_later(least, most, mend)
+        self._schedule_recovery(min_seconds, max_seconds, mend)
         return True
 
-    def _heal_later(self, least, most, action):
-        at = time.monotonic() + self._random.uniform(least, most)
-        self._heals.append(Heal(at, action))
+    def _schedule_recovery(self, min_seconds, max_seconds, action):
+        at = time.monotonic() + self._random.uniform(min_seconds, max_seconds)
+        self._recoveries.append(Recovery(at, action))
 
-    def _heal_due(self, now):
-        due = [heal for heal in self._heals if heal.at <= now]
-        self._heals = [heal for heal in self._heals if heal.at > now]
-        for heal in due:
-            heal.action()
+    def _run_due_recoveries(self, now):
+        due = [recovery for recovery in self._recoveries if recovery.at <= now]
+        self._recoveries = [
+            recovery for recovery in self._recoveries if recovery.at > now
+        ]
+        for recovery in due:
+            recovery.action()
 
-    # The end.
+    # Recovery and checks.
 
-    def _settle(self):
-        """Wait until every accepted job is at its end."""
+    def _wait_for_jobs(self):
+        """Wait until every accepted job has reached its final state."""
         for client in self.clients:
-            self._cancel_rest(client)
-        rest = [
-            (client, told)
+            self._cancel_long_running(client)
+        unfinished = [
+            (client, job)
             for client in self.clients
-            for told in client.told
-            if told.accepted and not told.cancel_sent
+            for job in client.jobs
+            if job.accepted and not job.cancel_sent
         ]
 
         def is_settled():
-            rest[:] = [row for row in rest if not _has_ended(*row)]
-            return not rest
+            unfinished[:] = [row for row in unfinished if not _has_ended(*row)]
+            return not unfinished
 
         soak_world.wait_until(is_settled, _SETTLE_SECONDS)
-        time.sleep(soak_checks.CANCEL_SECONDS)
-
-    def _cancel_rest(self, client):
-        """Cancel what lasts, so that there is room for all other work."""
-        for told in client.told:
-            lasts = any(row['longRunning'] for row in told.steps)
-            open_still = told.cancel_sent and told.cancelled is None
-            if open_still or (lasts and told.accepted):
-                client.show(told)
-                client.cancel(told)
-
-    def _check(self):
-        told = [one for client in self.clients for one in client.told]
+        time.sleep(soak_checks.CANCEL_DELAY_SECONDS)
+
+    def _cancel_long_running(self, client):
+        """Cancel long-running jobs, to make room for all others."""
+        for job in client.jobs:
+            long_running = any(row['longRunning'] for row in job.steps)
+            unconfirmed = job.cancel_sent and job.cancelled is None
+            if unconfirmed or (long_running and job.accepted):
+                client.show(job)
+                client.cancel(job)
+
+    def _run_checks(self):
+        jobs = [job for client in self.clients for job in client.jobs]
         for client in self.clients:
             self.problems += client.problems
         spans = [
             span for side in self._world.sides for span in side.runner.record
         ]
-        self.problems += soak_checks.check_all(told, spans)
-        zones = [
+        self.problems += soak_checks.check_all(jobs, spans)
+        spans_by_zone = [
             (side.zone, span)
             for side in self._world.sides
             for span in side.runner.record
         ]
-        self.problems += soak_checks.check_zones(self._closures, zones)
-        accepted = sum(1 for one in told if one.accepted)
+        self.problems += soak_checks.check_zones(self._closures, spans_by_zone)
+        accepted = sum(1 for job in jobs if job.accepted)
         print(
-            f'  {self.faults} faults, {len(told)} jobs, {accepted} accepted, '
+            f'  {self.faults} faults, {len(jobs)} jobs, {accepted} accepted, '
             f'{len(spans)} runs, {len(soak_checks.list_checks())} checks',
             flush=True,
         )
@@ -358,44 +387,44 @@
     Soak._stop,
     Soak._pause,
     Soak._pause,
-    Soak._cut_peers,
-    Soak._cut_peers,
-    Soak._cut_store,
-    Soak._harm_store,
-    Soak._harm_store,
-    Soak._revoke,
+    Soak._disturb_peers,
+    Soak._disturb_peers,
+    Soak._disturb_store_relay,
+    Soak._disturb_store,
+    Soak._disturb_store,
+    Soak._revoke_registration,
     Soak._crash_runner,
     Soak._silence_runner,
     Soak._delay_orders,
 )
 
 
-def _has_ended(client, told):
-    """Ask whether a job is where it has to come to."""
-    return client.show(told)[1] in ('completed', 'failed')
+def _has_ended(client, job):
+    """Return whether a job is in a final state, by a query."""
+    return client.show(job)[1] in ('completed', 'failed')
 
 
 def run_seed(seed, seconds, folder, network, crashers=True):
-    """Run one seed; returns the list of what was broken."""
+    """Run one seed; returns the list of violations."""
     print(f'seed {seed}', flush=True)
     with soak_world.World(folder, network) as world:
-        made = Soak(world, seed, crashers)
-        made.run(seconds)
-    for problem in made.problems:
+        soak = Soak(world, seed, crashers)
+        soak.run(seconds)
+    for problem in soak.problems:
         print(f'  BROKEN {problem}', flush=True)
-    return made.problems
+    return soak.problems
 
 
 def list_kept_seeds():
-    """Return the seeds that have failed once, from ``soak_seeds.toml``."""
-    with open(_SEEDS, 'rb') as source:
+    """Return the seeds that once failed, from ``soak_seeds.toml``."""
+    with open(_SEEDS_PATH, 'rb') as source:
         return [row['seed'] for row in tomllib.load(source).get('kept', [])]
 
 
 def make_folder(keep, seed):
-    """Return a folder for a seed's logs; those of one that fails stay.
+    """Return a new folder for a seed's logs.
 
-    :param keep: where those of all seeds stay, or ''
+    :param keep: parent folder, or '' for a temporary folder
     """
     if not keep:
         return tempfile.mkdtemp(prefix=f'portwharf-{seed}-')
@@ -405,15 +434,15 @@
 
 
 def main():
-    """Run seeds; exit code 0 only if nothing was broken."""
+    """Run the seeds; the exit code is 0 only without violations."""
     parser = argparse.ArgumentParser()
-    parser.add_argument('--seed', type=int, help='the first one')
+    parser.add_argument('--seed', type=int, help='first seed')
     parser.add_argument('--count', type=int, default=1)
-    parser.add_argument('--seconds', type=float, default=SECONDS)
+    parser.add_argument('--seconds', type=float, default=DURATION_SECONDS)
     parser.add_argument('--network', type=int, default=77)
-    parser.add_argument('--keep', default='', help='folder for logs')
+    parser.add_argument('--keep', default='', help='folder to keep logs in')
     arguments = parser.parse_args()
-    # Leave no programs behind when stopped from outside.
+    # Ends the started processes when this one is terminated.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     seeds = list_kept_seeds()
     crashers = arguments.seed is not None
--- a/packages/testing/portwharf/testing/soak_checks.py
+++ b/packages/testing/portwharf/testing/soak_checks.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What must hold after a soak, by what clients and runners have seen.
+"""Checks of the soak test on the records of clients and runners.
 
-Each check takes the clients' notes and the runners' records and returns a
-list of sentences, one for each promise that was broken.
+Each check takes the clients' jobs and the runners' spans, and returns a list
+of messages, one for each violation.
 """
 
 import collections
@@ -11,230 +11,247 @@
 
 from portwharf.testing import soak_world
 
-# A start that was sent before an end was acknowledged may arrive later.
-ACK_SECONDS = 1.0
-# How long a cancelled task may run on, in calm, after its acknowledgement.
-CANCEL_SECONDS = 3.0
-# Starts of a task that crashes its runners that users allow; and those whose
-# crash nobody told, as their side was down, cut off or had just begun, too.
-CRASHER_STARTS = 5
-UNTOLD_STARTS = 3
+# Time after an acknowledgement in which earlier starts may still arrive.
+ACK_DELAY_SECONDS = 1.0
+# Longest time a cancelled task may run on after the confirmation, when no
+# faults are active.
+CANCEL_DELAY_SECONDS = 3.0
+# Starts that the requirements allow for a crasher, and more starts whose crash
+# was not reported because the side was down, cut off or just starting.
+MAX_CRASHER_STARTS = 5
+MAX_UNREPORTED_STARTS = 3
 
 
-# How long after it was closed something may begin in a zone; and how much
-# later runners carry orders out that they have left unanswered.
-ZONE_SECONDS = 5.0
-LATE_SECONDS = 2.5
+# Time after its closure in which runs may still start in a zone, and the delay
+# of starts that runners left unanswered.
+ZONE_CLOSURE_DELAY_SECONDS = 5.0
+LATE_START_SECONDS = 2.5
 
 
 @dataclasses.dataclass(slots=True)
 class Closure:
-    """A time for which an availability zone was closed to new starts."""
+    """A period in which an availability zone was closed to new starts."""
 
     zone: str = ''
     began: float = 0.0
     ended: float = float('inf')
 
 
-def check_zones(closures, zones):
-    """Nothing begins in an availability zone that has long been closed.
+def check_zones(closures, spans_by_zone):
+    """No run starts in an availability zone well after its closure.
 
     :param closures: list of :class:`Closure`
-    :param zones: pairs of a zone and a span of a runner there
+    :param spans_by_zone: list of (zone, ``soak_runner.Span``) of all runners
     """
-    limit = ZONE_SECONDS + LATE_SECONDS
+    limit = ZONE_CLOSURE_DELAY_SECONDS + LATE_START_SECONDS
     return [
-        f'{span.task} began {span.began - one.began:.1f} s after {zone} closed'
-        for zone, span in zones
-        for one in closures
-        if one.zone == zone and one.began + limit < span.began < one.ended
+        f'{span.task} began {span.began - closure.began:.1f} s after '
+        f'{zone} closed'
+        for zone, span in spans_by_zone
+        for closure in closures
+        if closure.zone == zone
+        and closure.began + limit < span.began < closure.ended
     ]
 
 
 def list_checks():
-    """Return all checks, in the order in which they are reported."""
+    """Return all checks, in the order of their reports."""
     return (
-        check_runs_overlap,
-        check_runs_after_done,
-        check_order,
-        check_attempts,
-        check_what_was_asked,
-        check_refused,
+        check_overlapping_runs,
+        check_runs_after_completion,
+        check_step_order,
+        check_max_failures,
+        check_specs,
+        check_refused_jobs,
         check_gangs,
-        check_ends,
-        check_cancelled,
+        check_final_states,
+        check_cancelled_jobs,
         check_crashers,
     )
 
 
-def check_all(told, spans):
-    """Return what every check has found.
+def check_all(jobs, spans):
+    """Run all checks; returns the list of messages.
 
-    :param told: list of ``soak_clients.Told``
+    :param jobs: list of ``soak_clients.Told``
     :param spans: list of ``soak_runner.Span``
     """
-    by_id = {one.id: one for one in told}
+    by_id = {job.id: job for job in jobs}
     return [
         problem for check in list_checks() for problem in check(by_id, spans)
     ]
 
 
-def check_runs_overlap(told, spans):
-    """No task runs in two places at once."""
+def check_overlapping_runs(jobs, spans):
+    """No task has two runs at once."""
     found = []
-    for task, runs in _sort_by_task(spans).items():
+    for task, runs in _group_by_task(spans).items():
         for one, other in zip(runs, runs[1:], strict=False):
             if one.ended is None or one.ended > other.began:
-                rows = describe_runs(runs)
-                found.append(f'{task}: two runs at once: {rows}')
+                described = format_runs(runs)
+                found.append(f'{task}: two runs at once: {described}')
     return found
 
 
-def check_runs_after_done(told, spans):
-    """Nothing begins after an end that has been acknowledged."""
+def check_runs_after_completion(jobs, spans):
+    """No task starts again after an acknowledged completion."""
     found = []
-    for task, runs in _sort_by_task(spans).items():
+    for task, runs in _group_by_task(spans).items():
         done = [one for one in runs if one.how == 'done' and one.acked]
         for one in done:
-            late = [r for r in runs if r.began > one.acked + ACK_SECONDS]
-            if late:
-                rows = describe_runs(runs)
-                found.append(f'{task}: begun again after its end: {rows}')
+            later = [
+                r for r in runs if r.began > one.acked + ACK_DELAY_SECONDS
+            ]
+            if later:
+                described = format_runs(runs)
+                found.append(
+                    f'{task}: started again after its acknowledged end: '
+                    f'{described}'
+                )
     return found
 
 
-def check_order(told, spans):
-    """A step begins only after all tasks of the step before it are done."""
+def check_step_order(jobs, spans):
+    """A step starts only when all tasks of the previous step are done."""
     done = collections.defaultdict(dict)
     for span in spans:
         if span.how == 'done':
-            job, step, number = _split(span.task)
-            done[(job, step)][number] = span.ended
+            job_id, step, number = _split_task_name(span.task)
+            done[(job_id, step)][number] = span.ended
     found = []
     for span in spans:
-        job, step, _ = _split(span.task)
-        rows = told[job].steps if job in told else []
-        if step >= len(rows) or 'watchRev' not in rows[step]:
+        job_id, step, _ = _split_task_name(span.task)
+        steps = jobs[job_id].steps if job_id in jobs else []
+        if step >= len(steps) or 'watchRev' not in steps[step]:
             continue
-        before = done[(job, step - 1)]
-        needed = 1 if rows[step - 1]['gang'] else rows[step - 1]['count']
-        early = [when for when in before.values() if when <= span.began]
-        if len(early) < needed:
-            found.append(f'{span.task}: begun before its turn')
+        previous = done[(job_id, step - 1)]
+        required = 1 if steps[step - 1]['gang'] else steps[step - 1]['count']
+        early = [when for when in previous.values() if when <= span.began]
+        if len(early) < required:
+            found.append(
+                f'{span.task}: started before the previous step was done'
+            )
     return found
 
 
-def check_attempts(told, spans):
-    """No task begins after it has failed as often as it may.
+def check_max_failures(jobs, spans):
+    """No task starts after its maximum number of failures.
 
-    Only ends that were acknowledged count: others were lost with a runner.
+    Only acknowledged ends count, since others may be lost with their runner.
     """
     found = []
-    for task, runs in _sort_by_task(spans).items():
+    for task, runs in _group_by_task(spans).items():
         acked = sorted(
             one.acked for one in runs if one.how == 'failed' and one.acked
         )
         if len(acked) < soak_world.MAX_FAILURES:
             continue
-        last = acked[soak_world.MAX_FAILURES - 1] + ACK_SECONDS
+        last = acked[soak_world.MAX_FAILURES - 1] + ACK_DELAY_SECONDS
         if any(one.began > last for one in runs):
-            found.append(f'{task}: begun after its last attempt')
+            found.append(f'{task}: started after its last allowed failure')
     return found
 
 
-def check_what_was_asked(told, spans):
-    """Only what clients sent runs, and it resumes from its own work."""
+def check_specs(jobs, spans):
+    """Tasks run with a submitted spec, and resume from own checkpoints."""
     found = []
     for span in spans:
-        job, step, _ = _split(span.task)
-        if job not in told or told[job].spec != span.spec:
-            found.append(f'{span.task}: not what a client sent')
+        job_id, step, _ = _split_task_name(span.task)
+        if job_id not in jobs or jobs[job_id].spec != span.spec:
+            found.append(
+                f'{span.task}: spec is not one that a client submitted'
+            )
             continue
         owner = span.saved.partition('|')[0]
-        gang = told[job].steps[step]['gang']
+        gang = jobs[job_id].steps[step]['gang']
         if span.saved and owner != span.task and not gang:
-            found.append(f'{span.task}: begun from what {owner} saved')
+            found.append(f'{span.task}: resumed from a checkpoint of {owner}')
     return found
 
 
-def check_refused(told, spans):
-    """What every attempt was refused for never runs."""
-    begun = {_split(span.task)[0] for span in spans}
+def check_refused_jobs(jobs, spans):
+    """A job does not run if every attempt to submit it was refused."""
+    started = {_split_task_name(span.task)[0] for span in spans}
     return [
-        f'{one.id}: refused {one.statuses}, and yet it ran'
-        for one in told.values()
-        if one.statuses
-        and all(status in (429, 503) for status in one.statuses)
-        and one.id in begun
+        f'{job.id}: ran although refused with {job.statuses}'
+        for job in jobs.values()
+        if job.statuses
+        and all(status in (429, 503) for status in job.statuses)
+        and job.id in started
     ]
 
 
-def check_gangs(told, spans):
-    """No member of a gang runs beside a member of another attempt."""
+def check_gangs(jobs, spans):
+    """Members of a gang run only beside members of the same attempt."""
     found = []
     gangs = collections.defaultdict(list)
     for span in spans:
-        job, step, _ = _split(span.task)
-        if job in told and told[job].steps[step]['gang']:
-            gangs[(job, step)].append(span)
-    for (job, _), members in gangs.items():
+        job_id, step, _ = _split_task_name(span.task)
+        if job_id in jobs and jobs[job_id].steps[step]['gang']:
+            gangs[(job_id, step)].append(span)
+    for (job_id, _), members in gangs.items():
         members.sort(key=lambda one: one.began)
         for one, other in zip(members, members[1:], strict=False):
-            beside = one.ended is None or one.ended > other.began
-            if beside and one.run != other.run:
-                found.append(f'{job}: attempts of a gang side by side')
+            overlaps = one.ended is None or one.ended > other.began
+            if overlaps and one.run != other.run:
+                found.append(f'{job_id}: two attempts of a gang at once')
     return found
 
 
-def check_ends(told, spans):
-    """Every accepted job has come to the end that it had to come to."""
+def check_final_states(jobs, spans):
+    """Every accepted job reaches its expected final state."""
     found = []
-    for one in told.values():
-        if not one.accepted or one.cancel_sent:
+    for job in jobs.values():
+        if not job.accepted or job.cancel_sent:
             continue
-        last = one.states[-1] if one.states else 'never shown'
-        fails = one.hopeless or one.crashes
-        wanted = 'failed' if fails else 'completed'
-        if last != wanted:
-            found.append(f'{one.id}: {last}, not {wanted}')
+        last_state = job.states[-1] if job.states else 'never shown'
+        fails = job.hopeless or job.crashes
+        expected = 'failed' if fails else 'completed'
+        if last_state != expected:
+            found.append(
+                f'{job.id}: final state is {last_state}, expected {expected}'
+            )
     return found
 
 
-def check_cancelled(told, spans):
-    """Nothing of a cancelled job is left running at the end."""
+def check_cancelled_jobs(jobs, spans):
+    """No task of a cancelled job is still running at the end."""
     return [
-        f'{span.task}: runs on although its job was cancelled'
+        f'{span.task}: still running although its job was cancelled'
         for span in spans
-        if span.ended is None and told[_split(span.task)[0]].cancelled
+        if span.ended is None
+        and jobs[_split_task_name(span.task)[0]].cancelled
     ]
 
 
-def check_crashers(told, spans):
-    """A task that crashes its runners is given up in time."""
+def check_crashers(jobs, spans):
+    """A task that crashes its runners is given up after enough crashes."""
     found = []
-    for task, runs in _sort_by_task(spans).items():
-        job, step, number = _split(task)
-        crasher = job in told and told[job].crashes
-        if not crasher or (step, number) != (0, 0):
+    for task, runs in _group_by_task(spans).items():
+        job_id, step, number = _split_task_name(task)
+        is_crasher = job_id in jobs and jobs[job_id].crashes
+        if not is_crasher or (step, number) != (0, 0):
             continue
-        if len(runs) > CRASHER_STARTS + UNTOLD_STARTS:
-            rows = describe_runs(runs)
-            found.append(f'{task}: crashes on and on: {rows}')
+        if len(runs) > MAX_CRASHER_STARTS + MAX_UNREPORTED_STARTS:
+            described = format_runs(runs)
+            found.append(
+                f'{task}: started too often after crashes: {described}'
+            )
     return found
 
 
-def describe_runs(runs):
-    """Return a task's runs as text for people."""
+def format_runs(runs):
+    """Format a task's runs for a message."""
     rows = []
-    for one in runs:
-        ended = f'{one.ended:.2f}' if one.ended else ''
-        acked = f' acked {one.acked:.2f}' if one.acked else ''
-        times = f'{one.began:.2f}-{ended}'
-        rows.append(f'{one.run} on {one.life} {times} {one.how}{acked}')
+    for span in runs:
+        ended = f'{span.ended:.2f}' if span.ended else ''
+        acked = f' acked {span.acked:.2f}' if span.acked else ''
+        times = f'{span.began:.2f}-{ended}'
+        rows.append(f'{span.run} on {span.life} {times} {span.how}{acked}')
     return '; '.join(rows)
 
 
-def _sort_by_task(spans):
+def _group_by_task(spans):
     runs = collections.defaultdict(list)
     for span in spans:
         runs[span.task].append(span)
@@ -243,7 +260,7 @@
     return runs
 
 
-def _split(task):
-    """Return job, step and number of a task named ID.TIME.STEP.NUMBER."""
-    job, _, step, number = task.split('.')
-    return job, int(step), int(number)
+def _split_task_name(task):
+    """Split a task named ID.TIME.STEP.NUMBER into job id, step, number."""
+    job_id, _, step, number = task.split('.')
+    return job_id, int(step), int(number)
--- a/packages/testing/portwharf/testing/soak_clients.py
+++ b/packages/testing/portwharf/testing/soak_clients.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Clients of the soak: they keep connections open and note what they hear.
+"""Clients of the soak test, with persistent connections.
 
-Each client submits jobs of several shapes, asks again under the same id
-while it does not know the outcome, cancels some, and asks for states. What
-it was told is written down for the checks.
+Each client submits jobs of several shapes, retries under the same id while
+the outcome is unknown, cancels some jobs, and queries job states. It records
+the answers for the checks.
 """
 
 import dataclasses
@@ -16,28 +16,32 @@
 
 from portwharf.testing import soak_world
 
-_CALL_SECONDS = 3.0
-_TRIES = 6
-_READY_SECONDS = 40.0
-_MAX_RETRY_SECONDS = 1.0
-# One job in so many is cancelled, fails for good, lasts, or is a gang.
-_SPECIAL = 12
-# Below this it is one of these; of the others one in so many crashes runners.
-_OTHERWISE_SPECIAL = 4
-_CRASHERS = 10
-_REFUSED = (429, 503)
+_REQUEST_TIMEOUT_SECONDS = 3.0
+_MAX_ATTEMPTS = 6
+_READY_TIMEOUT_SECONDS = 40.0
+_MAX_RETRY_DELAY_SECONDS = 1.0
+# One accepted job in so many is cancelled. A job's shape is a random number
+# below this: 1 is a gang, 2 runs until it is stopped, 3 fails for good.
+_SHAPES = 12
+# From this number on shapes are ordinary; of those jobs one in so many
+# crashes its runners.
+_FIRST_ORDINARY_SHAPE = 4
+_JOBS_PER_CRASHER = 10
+_REFUSAL_STATUSES = (429, 503)
 
 
 @dataclasses.dataclass(slots=True)
 class Told:
-    """What a client was told of one job.
+    """A job as one client sees it: what was submitted, and the answers.
 
-    :param statuses: of each attempt to hand it in; 0 for no whole answer
-    :param accepted: when its acceptance was heard, or None
-    :param cancelled: when its cancelling was heard, or None
-    :param cancel_sent: its cancelling was asked for
+    :param hopeless: the job fails on every attempt
     :param crashes: one of its tasks crashes the runners that start it
-    :param states: the states that were shown, in order
+    :param statuses: HTTP status of each attempt to submit it; 0 without a
+        complete answer
+    :param accepted: when its acceptance was received, or None
+    :param cancelled: when its cancellation was confirmed, or None
+    :param cancel_sent: a cancellation was sent
+    :param states: the states returned by queries, in order
     """
 
     id: str = ''
@@ -53,7 +57,7 @@
 
 
 class Client(threading.Thread):
-    """One client, with a connection to each entry."""
+    """One client, with a persistent connection to each entry."""
 
     def __init__(self, world, seed, crashers=False):
         """Take a ``soak_world.World`` and a seed.
@@ -63,145 +67,153 @@
         super().__init__(name=f'client-{seed}', daemon=True)
         self._world = world
         self._random = random.Random(seed)
-        # Drawn apart, so that known seeds keep their jobs.
-        self._crashers = random.Random(-1 - seed) if crashers else None
-        self._conns = {}
-        self._stop_asked = threading.Event()
-        self.told = []
+        # A separate generator, so that known seeds keep their jobs.
+        self._crasher_random = random.Random(-1 - seed) if crashers else None
+        self._connections = {}
+        self._stop_event = threading.Event()
+        self.jobs = []
         self.problems = []
 
     def stop(self):
-        """Hand in nothing more."""
-        self._stop_asked.set()
+        """Submit no further jobs."""
+        self._stop_event.set()
 
     def run(self):
-        while not self._stop_asked.wait(self._random.uniform(0.2, 0.8)):
-            told = self._make_job()
-            self.told.append(told)
-            self.submit(told)
-            if told.accepted and self._random.randrange(_SPECIAL) == 0:
-                self.cancel(told)
-            if self.told and self._random.random() < 0.5:
-                self.show(self._random.choice(self.told))
-
-    def show(self, told):
-        """Ask for a job's state; returns the status and state."""
-        status, value = self._ask('GET', soak_world.PREFIX + told.id)
+        while not self._stop_event.wait(self._random.uniform(0.2, 0.8)):
+            job = self._make_job()
+            self.jobs.append(job)
+            self.submit(job)
+            if job.accepted and self._random.randrange(_SHAPES) == 0:
+                self.cancel(job)
+            if self.jobs and self._random.random() < 0.5:
+                self.show(self._random.choice(self.jobs))
+
+    def show(self, job):
+        """Query a job's state; returns the HTTP status and the state."""
+        status, value = self._request('GET', soak_world.PREFIX + job.id)
         if status == 200:
-            told.states.append(value.get('state', ''))
-        if status == 410 and told.accepted:
-            self.problems.append(f'{told.id}: accepted, and then unknown')
+            job.states.append(value.get('state', ''))
+        if status == 410 and job.accepted:
+            self.problems.append(f'{job.id}: unknown after it was accepted')
         return status, value.get('state', '')
 
-    def cancel(self, told):
-        """Cancel a job, until that is acknowledged or given up."""
-        told.cancel_sent = True
-        for _ in range(_TRIES):
-            status, _ = self._ask('DELETE', soak_world.PREFIX + told.id)
+    def cancel(self, job):
+        """Cancel a job; retries until this is confirmed or attempts end."""
+        job.cancel_sent = True
+        for _ in range(_MAX_ATTEMPTS):
+            status, _ = self._request('DELETE', soak_world.PREFIX + job.id)
             if status in (200, 410):
-                told.cancelled = time.monotonic()
+                job.cancelled = time.monotonic()
                 return
             time.sleep(0.3)
 
-    def ask_route(self, prefix):
-        """Ask every entry for the count of a queue; returns statuses."""
+    def query_queue(self, prefix):
+        """Query a queue on every entry; returns the list of HTTP statuses."""
         return [
-            self._ask('GET', prefix, entry)[0] for entry in self._world.entries
+            self._request('GET', prefix, entry)[0]
+            for entry in self._world.entries
         ]
 
-    def submit(self, told):
-        """Hand a job in, again while its outcome is not known."""
-        body = {'spec': told.spec, 'steps': told.steps}
-        path = soak_world.PREFIX + told.id
-        for _ in range(_TRIES):
-            status, value = self._ask('POST', path, body=body)
-            told.statuses.append(status)
+    def submit(self, job):
+        """Submit a job; retries until it is accepted or attempts end."""
+        body = {'spec': job.spec, 'steps': job.steps}
+        path = soak_world.PREFIX + job.id
+        for _ in range(_MAX_ATTEMPTS):
+            status, value = self._request('POST', path, body=body)
+            job.statuses.append(status)
             if status == 200:
-                told.accepted = time.monotonic()
+                job.accepted = time.monotonic()
                 return
-            if status in _REFUSED and 'error' not in value:
-                self.problems.append(f'{told.id}: a refusal says nothing')
-            time.sleep(self._random.uniform(0.1, _MAX_RETRY_SECONDS))
+            if status in _REFUSAL_STATUSES and 'error' not in value:
+                self.problems.append(
+                    f'{job.id}: refusal without an error text'
+                )
+            time.sleep(self._random.uniform(0.1, _MAX_RETRY_DELAY_SECONDS))
 
     def wait_until_served(self):
-        """Wait until every entry answers; returns whether it came to that.
+        """Wait until every entry serves requests.
 
-        All processes have to start and an owner to be found first.
+        This takes until all processes have started and an owner is elected.
+
+        :returns: whether all entries served requests in time
         """
 
         def is_served():
-            statuses = self.ask_route(soak_world.PREFIX)
+            statuses = self.query_queue(soak_world.PREFIX)
             return all(status == 200 for status in statuses)
 
-        return soak_world.wait_until(is_served, _READY_SECONDS)
+        return soak_world.wait_until(is_served, _READY_TIMEOUT_SECONDS)
 
-    def _ask(self, method, path, entry=None, body=None):
-        """Make one call on a connection that stays open.
+    def _request(self, method, path, entry=None, body=None):
+        """Send one request on a persistent connection.
 
-        :returns: the status and the answer's value; 0 for no whole answer
+        :returns: the HTTP status and the decoded answer; 0 and an empty map
+            without a complete answer
         """
         entry = entry or self._random.choice(self._world.entries)
-        conn = self._conns.get(entry.name)
+        conn = self._connections.get(entry.name)
         if conn is None:
-            place = self._world.find_client_place(entry)
-            conn = http.client.HTTPConnection(*place, timeout=_CALL_SECONDS)
-            self._conns[entry.name] = conn
+            endpoint = self._world.find_client_place(entry)
+            conn = http.client.HTTPConnection(
+                *endpoint, timeout=_REQUEST_TIMEOUT_SECONDS
+            )
+            self._connections[entry.name] = conn
         headers = {
             'Host': soak_world.HOST,
             'Content-Type': 'application/json',
-            'Portwharf-Deadline-Ms': str(int(_CALL_SECONDS * 1000)),
+            'Portwharf-Deadline-Ms': str(int(_REQUEST_TIMEOUT_SECONDS * 1000)),
         }
-        raw = json.dumps(body) if body is not None else None
+        encoded = json.dumps(body) if body is not None else None
         try:
-            conn.request(method, path, raw, headers)
-            answer = conn.getresponse()
-            return answer.status, json.loads(answer.read() or b'{}')
+            conn.request(method, path, encoded, headers)
+            response = conn.getresponse()
+            return response.status, json.loads(response.read() or b'{}')
         except (OSError, http.client.HTTPException):
-            # The entry is down, or has cut the connection.
+            # The entry is down, or closed the connection.
             conn.close()
-            del self._conns[entry.name]
+            del self._connections[entry.name]
             return 0, {}
         except ValueError as exc:
-            self.problems.append(f'{method} {path}: garbled answer: {exc}')
+            self.problems.append(f'{method} {path}: answer is not JSON: {exc}')
             return 0, {}
 
     def _make_job(self):
-        """Return a job of some shape, under an id of its own."""
+        """Return a job of a random shape with a new id."""
         rnd = self._random
-        special = rnd.randrange(_SPECIAL)
-        rows, works = [], []
+        shape = rnd.randrange(_SHAPES)
+        steps, step_specs = [], []
         for number in range(rnd.randint(1, 3)):
-            work = {
+            step_spec = {
                 'ms': rnd.randint(50, 1500),
                 'cpu': rnd.choice((200, 500, 1000)),
                 'memory': rnd.choice((100, 500)),
                 'saves': rnd.random() < 0.5,
                 'fails': rnd.choice((0, 0, 0, 0, 1)),
             }
-            row = {
+            step = {
                 'count': rnd.randint(1, 4),
-                'cpu': work['cpu'],
-                'memMb': work['memory'],
-                'estimateMs': work['ms'],
-                'checkpoints': work['saves'],
-                'gang': special == 1,
-                'longRunning': special == 2,
+                'cpu': step_spec['cpu'],
+                'memMb': step_spec['memory'],
+                'estimateMs': step_spec['ms'],
+                'checkpoints': step_spec['saves'],
+                'gang': shape == 1,
+                'longRunning': shape == 2,
             }
-            if number and special != 2:
-                row['watchRev'] = [number - 1]
-            if special == 3:
-                work['fails'] = 99
-            work['lasts'] = row['longRunning']
-            rows.append(row)
-            works.append(work)
-        crashes = self._draw_crasher(special)
-        works[0]['crashes'] = crashes
+            if number and shape != 2:
+                step['watchRev'] = [number - 1]
+            if shape == 3:
+                step_spec['fails'] = 99
+            step_spec['lasts'] = step['longRunning']
+            steps.append(step)
+            step_specs.append(step_spec)
+        crashes = self._is_crasher(shape)
+        step_specs[0]['crashes'] = crashes
         job_id = f'{rnd.getrandbits(64):016x}'
-        spec = json.dumps({'id': job_id, 'steps': works})
-        return Told(job_id, spec, rows, special == 3, crashes)
+        spec = json.dumps({'id': job_id, 'steps': step_specs})
+        return Told(job_id, spec, steps, shape == 3, crashes)
 
-    def _draw_crasher(self, special):
-        """Tell whether a job, if nothing else is special, is a crasher."""
-        if self._crashers is None or special < _OTHERWISE_SPECIAL:
+    def _is_crasher(self, shape):
+        """Return whether a job crashes its runners; only ordinary ones do."""
+        if self._crasher_random is None or shape < _FIRST_ORDINARY_SHAPE:
             return False
-        return self._crashers.randrange(_CRASHERS) == 0
+        return self._crasher_random.randrange(_JOBS_PER_CRASHER) == 0
--- a/packages/testing/portwharf/testing/soak_pressure.py
+++ b/packages/testing/portwharf/testing/soak_pressure.py
@@ -1,32 +1,38 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""How what fills a soak's runner presses on what serves there.
+"""Models how filling tasks slow the server tasks of a soak runner.
 
-A task that serves has a tail which grows with the processors that filling
-tasks on its runner use, and so with the share that they work at.
+The tail latency of a server task grows with the processors that filling
+tasks on the same runner use, and these with the pace set for each task.
 """
 
 import math
 
 TARGET_MS = 20
-FULL = 100
-# A filling task's processors, of the 4000 thousandths of a runner.
-FILL_MILLI = 500
-# The tail with nothing beside it, and its growth by a share of processors.
-_CALM_TAIL_MS = 8
-_PRESS = 24.0
-_RUNNER_MILLI = 4000
+FULL_PACE_PERCENT = 100
+# Processors of a filling task at full pace, in thousandths.
+FILL_CPU_MILLI = 500
+# Tail latency without filling tasks, and the growth of its logarithm with
+# their share of the processors.
+_BASE_TAIL_MS = 8
+_TAIL_GROWTH = 24.0
+_RUNNER_CPU_MILLI = 4000
 
 
-def find_use(percent):
-    """Return the processors that a filling task uses, in thousandths."""
-    return FILL_MILLI * percent // FULL
+def get_cpu_milli(percent):
+    """Return the processors that a filling task uses, in thousandths.
+
+    :param percent: its pace
+    """
+    return FILL_CPU_MILLI * percent // FULL_PACE_PERCENT
 
 
-def find_tail(fills):
-    """Return the tail of a server in ms.
+def get_tail_ms(paces):
+    """Return the tail latency of a server task, in ms.
 
-    :param fills: list of the shares, in percent, that filling tasks work at
+    :param paces: list of the paces of filling tasks, in percent
     """
-    share = sum(find_use(percent) for percent in fills) / _RUNNER_MILLI
-    return int(_CALM_TAIL_MS * math.exp(_PRESS * share))
+    cpu_share = (
+        sum(get_cpu_milli(percent) for percent in paces) / _RUNNER_CPU_MILLI
+    )
+    return int(_BASE_TAIL_MS * math.exp(_TAIL_GROWTH * cpu_share))
--- a/packages/testing/portwharf/testing/soak_runner.py
+++ b/packages/testing/portwharf/testing/soak_runner.py
@@ -1,10 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A runner for the soak: its tasks take time, save, fail and lapse.
+"""A simulated runner for the soak test.
 
-What a task does is written in its job's text, as JSON: for each step how
-long it runs, what it takes and how often it fails. The runner keeps a record
-of what ran when, which the checks read, and it guards its capacity.
+The spec of a job is JSON that defines, for each step, how long its tasks run,
+which resources they need, whether they write checkpoints and how often they
+fail. The runner enforces leases and its capacity, and records every run for
+the checks.
 """
 
 import dataclasses
@@ -22,21 +23,26 @@
 
 CPU_MILLI = 4000
 MEMORY_MB = 8000
-BEAT_SECONDS = 0.5
-_TICK_SECONDS = 0.02
-# A heartbeat of a life that is over comes as late as this.
-_LATE_BEAT_SECONDS = 1.7
-# An order without an answer is held for longer than a side waits.
-_HELD_SECONDS = 0.6
-# A task that crashes its runner does so this soon after its start.
-_CRASH_SECONDS = 0.02
+HEARTBEAT_INTERVAL_SECONDS = 0.5
+_TICK_INTERVAL_SECONDS = 0.02
+# Delay of a heartbeat that arrives after the end of its life.
+_LATE_HEARTBEAT_SECONDS = 1.7
+# Time before an order fails without being carried out; longer than a side
+# waits for the answer.
+_UNANSWERED_SECONDS = 0.6
+# Time from the start of a crasher to the crash of its runner.
+_CRASH_DELAY_SECONDS = 0.02
 
 
 @dataclasses.dataclass(slots=True)
 class Span:
-    """One run, by the runner's own record.
+    """One run of a task, as recorded by the runner.
 
+    :param run: number of the attempt
+    :param saved: the checkpoint that it resumed from, or ''
+    :param life: the life of the runner that it ran in
     :param ended: None while it runs
+    :param how: ``done``, ``failed``, ``stopped``, ``lapsed`` or ``crashed``
     :param acked: when its end was acknowledged, or None
     """
 
@@ -53,8 +59,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Work:
-    """What a task does, by its job's text.
+    """What the tasks of a step do, by the job's spec.
 
+    :param fails: number of attempts that fail before one succeeds
+    :param lasts: tasks run until they are stopped
+    :param saves: tasks write a checkpoint when they are stopped
+    :param serves: tasks are servers with a tail latency
+    :param fills: tasks are filling tasks, which slow servers
     :param crashes: the first task of the step crashes its runner
     """
 
@@ -75,84 +86,86 @@
     return Work(**json.loads(spec)['steps'][step])
 
 
-def _find(span):
+def _read_span_work(span):
     """Return the :class:`Work` of a run."""
     return read_work(span.spec, span.task)
 
 
 class SoakRunner(platform_runner.RunnerStandIn):
-    """One runner; a context manager that sends heartbeats."""
+    """One runner; sends heartbeats while used as a context manager."""
 
     def __init__(self, name, address, control, speed):
-        """Take its name, where it listens, and its side's control URL.
+        """Take the runner's name and address, and its side's control URL.
 
-        :param speed: of its clock, against true time
+        :param speed: speed of its clock, relative to real time
         """
         self._name = name
         self._address = address
-        self._control = control
+        self._control_url = control
         self._speed = speed
-        self._lives = 0
+        self._life_count = 0
         self.record = []
-        self.numbered = {}
+        self.numbered_ends = {}
         self.silent = False
         self.draining = False
-        # The shares that running tasks were told to work at, by name.
+        # Pace of each running task, in percent.
         self._paces = {}
-        # Share of starts that get no answer and are carried out late.
+        # Number of next starts that get no answer and are carried out late.
         self.late_starts = 0
-        self._late = []
-        self._lapsed = 0.0
-        # What it can hold now.
+        self._delayed_starts = []
+        self._lapsed_at = 0.0
+        # Current capacity; the soak shrinks it for a while.
         self.cpu_milli = CPU_MILLI
-        self._ending = threading.Event()
+        self._stop_event = threading.Event()
         self._http = urllib3.PoolManager(retries=False, timeout=1.0)
         super().__init__(f'{name}-0')
 
     def __enter__(self):
-        for work in (self._tick_on, self._beat_on):
+        for work in (self._run_ticks, self._send_heartbeats):
             threading.Thread(target=work, daemon=True).start()
         return self
 
     def __exit__(self, *exc_info):
-        self._ending.set()
+        self._stop_event.set()
 
     def crash(self):
-        """Lose all that runs, and begin a new life.
+        """Lose all running tasks and begin a new life.
 
-        Every second one has the id of the life before it.
+        Every second life has the same id as the one before it.
         """
         with self._lock:
-            for span in self._list_open():
-                self._close(span, 'crashed')
-            self._lives += 1
-            self._late = []
-            self.numbered = {}
-        self.begin_life(f'{self._name}-{self._lives // 2}')
+            for span in self._list_running():
+                self._end_span(span, 'crashed')
+            self._life_count += 1
+            self._delayed_starts = []
+            self.numbered_ends = {}
+        self.begin_life(f'{self._name}-{self._life_count // 2}')
 
     def read_ms(self):
-        """Return the runner's own clock."""
+        """Return the time by the runner's own clock, in ms."""
         return int(time.monotonic() * 1000 * self._speed)
 
     def __call__(self, environ, start_response):
-        while self.silent and not self._ending.is_set():
-            time.sleep(_TICK_SECONDS)
+        while self.silent and not self._stop_event.is_set():
+            time.sleep(_TICK_INTERVAL_SECONDS)
         with self._lock:
-            self._note_lapse()
+            self._check_lapse()
         return super().__call__(environ, start_response)
 
     def _start(self, body):
         if self.late_starts > 0:
             self.late_starts -= 1
-            self._late.append((time.monotonic() + 2.5, self.instance, body))
-            self._lock.wait(_HELD_SECONDS)
+            self._delayed_starts.append(
+                (time.monotonic() + 2.5, self.instance, body)
+            )
+            self._lock.wait(_UNANSWERED_SECONDS)
             return 500, {}
-        return self._begin(body)
+        return self._start_run(body)
 
-    def _begin(self, body):
+    def _start_run(self, body):
         task, run = body['task'], body['run']
         work = read_work(body['spec'], task)
-        if self.running.get(task) != run and not self._has_room(work):
+        if self.running.get(task) != run and not self._has_capacity(work):
             return 409, {'reason': 'room'}
         known = self.running.get(task)
         status, value = super()._start(body)
@@ -167,36 +180,42 @@
                     time.monotonic(),
                 )
             )
-            self._paces[task] = soak_pressure.FULL
+            self._paces[task] = soak_pressure.FULL_PACE_PERCENT
             if work.crashes and task.endswith('.0'):
-                self._crash_soon(task, run)
+                self._schedule_crash(task, run)
         return status, value
 
-    def _crash_soon(self, task, run):
-        """Crash under a run, unless it has ended by then."""
+    def _schedule_crash(self, task, run):
+        """Crash shortly after a run's start, unless the run ends before."""
 
         def crash():
             with self._lock:
-                runs = self._find_open(task, run) is not None
-            if runs:
+                is_running = self._find_running(task, run) is not None
+            if is_running:
                 self.crash()
 
-        timer = threading.Timer(_CRASH_SECONDS, crash)
+        timer = threading.Timer(_CRASH_DELAY_SECONDS, crash)
         timer.daemon = True
         timer.start()
 
-    def list_fills(self):
-        """Return the shares, in percent, that filling tasks work at."""
+    def list_fill_paces(self):
+        """Return the paces of the running filling tasks, in percent."""
         with self._lock:
-            return self._list_fills()
+            return self._list_fill_paces()
 
     def list_servers(self):
-        """Return the names of the tasks that serve."""
+        """Return the names of the running server tasks."""
         with self._lock:
-            return [s.task for s in self._list_open() if _find(s).serves]
-
-    def _list_fills(self):
-        fills = [s.task for s in self._list_open() if _find(s).fills]
+            return [
+                s.task
+                for s in self._list_running()
+                if _read_span_work(s).serves
+            ]
+
+    def _list_fill_paces(self):
+        fills = [
+            s.task for s in self._list_running() if _read_span_work(s).fills
+        ]
         return [self._paces[task] for task in fills]
 
     def _pace(self, body):
@@ -206,91 +225,99 @@
 
     def _hold(self, body):
         now = time.monotonic()
-        for number, span in self.numbered.items():
-            reached = number <= body.get('ackedUpto', 0)
-            # With the lease gone in between, the side was given up, and
-            # what it acknowledges may have been run again since.
-            if reached and span.acked is None and span.ended > self._lapsed:
+        for number, span in self.numbered_ends.items():
+            is_acked = number <= body.get('ackedUpto', 0)
+            # An acknowledgement of a run that ended before the lease lapsed
+            # doesn't count: the owner may have replaced the run since.
+            if (
+                is_acked
+                and span.acked is None
+                and span.ended > self._lapsed_at
+            ):
                 span.acked = now
         status, value = super()._hold(body)
         if status == 200:
-            self._write_figures(value['running'])
+            self._fill_measurements(value['running'])
         return status, value
 
-    def _write_figures(self, rows):
-        """Put tails and processors into a listing's rows, as they are."""
-        tail = soak_pressure.find_tail(self._list_fills())
+    def _fill_measurements(self, rows):
+        """Fill the tail latency or the processors used into listing rows."""
+        tail_ms = soak_pressure.get_tail_ms(self._list_fill_paces())
         for row in rows:
-            span = self._find_open(row[0], row[1])
-            work = _find(span) if span is not None else Work()
+            span = self._find_running(row[0], row[1])
+            work = _read_span_work(span) if span is not None else Work()
             if work.serves:
-                row[4] = tail
+                row[4] = tail_ms
             elif work.fills:
-                row[4] = soak_pressure.find_use(self._paces[span.task])
+                row[4] = soak_pressure.get_cpu_milli(self._paces[span.task])
 
-    def _has_room(self, work):
-        used = [_find(span) for span in self._list_open()]
-        cpu = sum(one.cpu for one in used) + work.cpu
-        memory = sum(one.memory for one in used) + work.memory
+    def _has_capacity(self, work):
+        running = [_read_span_work(span) for span in self._list_running()]
+        cpu = sum(other.cpu for other in running) + work.cpu
+        memory = sum(other.memory for other in running) + work.memory
         return cpu <= self.cpu_milli and memory <= MEMORY_MB
 
-    def _list_open(self):
+    def _list_running(self):
         return [span for span in self.record if span.ended is None]
 
-    def _find_open(self, task, run):
+    def _find_running(self, task, run):
         for span in reversed(self.record):
             if (span.task, span.run, span.ended) == (task, run, None):
                 return span
         return None
 
-    def _close(self, span, how):
+    def _end_span(self, span, how):
         span.ended = time.monotonic()
         span.how = how
 
     def _note_end(self, task, run, how, saved):
-        span = self._find_open(task, run)
+        span = self._find_running(task, run)
         if span is not None:
             work = read_work(span.spec, task)
-            kept = work.saves and how in ('stopped', 'lapsed')
-            saved = f'{task}|{self._count_done(span)}' if kept else ''
-            self._close(span, how)
+            has_checkpoint = work.saves and how in ('stopped', 'lapsed')
+            saved = (
+                f'{task}|{self._count_done_ms(span)}' if has_checkpoint else ''
+            )
+            self._end_span(span, how)
         super()._note_end(task, run, how, saved)
         if span is not None:
-            self.numbered[self._numbers] = span
+            self.numbered_ends[self._numbers] = span
 
-    def _count_done(self, span):
-        """Return the ms of work that a run has done, with what it resumed."""
+    def _count_done_ms(self, span):
+        """Return the work done by a run, resumed work included, in ms."""
         before = int(span.saved.rpartition('|')[2] or 0)
         return before + int((time.monotonic() - span.began) * 1000)
 
-    def _tick_on(self):
-        while not self._ending.wait(_TICK_SECONDS):
+    def _run_ticks(self):
+        while not self._stop_event.wait(_TICK_INTERVAL_SECONDS):
             with self._lock:
-                self._carry_out_late()
-                if self._note_lapse():
+                self._run_delayed_starts()
+                if self._check_lapse():
                     for task in list(self.running):
                         self._end_run(task, 'lapsed')
-                for span in self._list_open():
+                for span in self._list_running():
                     self._end_if_done(span)
 
-    def _note_lapse(self):
-        """Tell whether the lease is over, and remember when it was."""
+    def _check_lapse(self):
+        """Return whether the lease is over, and note when this was seen."""
         if self.read_ms() < self._until_ms:
             return False
-        self._lapsed = time.monotonic()
+        self._lapsed_at = time.monotonic()
         return True
 
-    def _carry_out_late(self):
+    def _run_delayed_starts(self):
         now = time.monotonic()
-        due = [row for row in self._late if row[0] <= now]
-        self._late = [row for row in self._late if row[0] > now]
+        due = [row for row in self._delayed_starts if row[0] <= now]
+        self._delayed_starts = [
+            row for row in self._delayed_starts if row[0] > now
+        ]
         for _, life, body in due:
             if life == self.instance and body['fence'] >= self.fence:
-                self._begin(body)
+                self._start_run(body)
 
     def _end_if_done(self, span):
         work = read_work(span.spec, span.task)
-        if work.lasts or self._count_done(span) < work.ms:
+        if work.lasts or self._count_done_ms(span) < work.ms:
             return
         how = 'failed' if span.run <= work.fails else 'done'
         self._end_run(span.task, how)
@@ -300,21 +327,21 @@
         if run is not None:
             self._note_end(task, run, how, '')
 
-    def _beat_on(self):
+    def _send_heartbeats(self):
         last = None
-        late = []
-        while not self._ending.wait(BEAT_SECONDS):
+        delayed = []
+        while not self._stop_event.wait(HEARTBEAT_INTERVAL_SECONDS):
             now = time.monotonic()
-            while late and late[0][0] <= now:
-                self._send(*late.pop(0)[1:])
+            while delayed and delayed[0][0] <= now:
+                self._send_heartbeat(*delayed.pop(0)[1:])
             if self.silent:
                 continue
-            former, last = last, (self.instance, self._make_beat())
-            if former is not None and former[1]['born'] != last[1]['born']:
-                late.append((now + _LATE_BEAT_SECONDS, *former))
-            self._send(*last)
+            previous, last = last, (self.instance, self._make_soak_beat())
+            if previous is not None and previous[1]['born'] != last[1]['born']:
+                delayed.append((now + _LATE_HEARTBEAT_SECONDS, *previous))
+            self._send_heartbeat(*last)
 
-    def _make_beat(self):
+    def _make_soak_beat(self):
         room = {'cpu': self.cpu_milli, 'memMb': MEMORY_MB, 'gpu': 0}
         with self._lock:
             return self.make_beat(
@@ -330,10 +357,10 @@
                 clockMs=self.read_ms(),
             )
 
-    def _send(self, instance, body):
-        url = f'{self._control}/portwharf/instances/{instance}/heartbeat'
+    def _send_heartbeat(self, instance, body):
+        url = f'{self._control_url}/portwharf/instances/{instance}/heartbeat'
         try:
             self._http.request('POST', url, json=body)
         except urllib3.exceptions.HTTPError as exc:
-            # The side is down or paused; the next beat tells as much.
-            LOG.debug('no answer to a heartbeat: %s', exc)
+            # The side is down or paused; the next heartbeat has the same data.
+            LOG.debug('heartbeat not answered: %s', exc)
--- a/packages/testing/portwharf/testing/soak_targets.py
+++ b/packages/testing/portwharf/testing/soak_targets.py
@@ -1,10 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The soak's promise to what serves: nothing that fills harms it for long.
+"""Checks in the soak test that filling tasks yield to server tasks.
 
-A task that serves runs on each VM from the beginning. Once all faults are
-over, filling tasks are placed beside them, and have to give way: a process
-that has restarted has to know what runs.
+A server task runs on each VM from the beginning. After the faults have been
+healed, filling tasks are placed beside them and have to be paced until the
+servers meet their latency targets. One side is restarted just before: it has
+to recover which tasks run.
 """
 
 import json
@@ -15,21 +16,25 @@
 from portwharf.testing import soak_world
 
 _FILL_MS = 60_000
-# A server over its target for so long on end, in seconds, was not protected;
-# a poll is each 0.4 s, and a brake halves what is left each time.
-HARM_SECONDS = 4.0
-# For the time until the filling tasks run.
-_BEGIN_SECONDS = 15.0
-_LOOK_SECONDS = 0.1
-# Ids of a seed's jobs.
-NUMBERS_A_SEED = 256
+# Longest time that a server may be over its target. Tails are polled every
+# 0.4 s, and the pace of the filling tasks is at most halved each time.
+MAX_OVER_TARGET_SECONDS = 4.0
+# Longest wait for the filling tasks to start.
+_START_TIMEOUT_SECONDS = 15.0
+_POLL_INTERVAL_SECONDS = 0.1
+# Job ids reserved for each seed.
+JOB_IDS_PER_SEED = 256
 
 
 def make_job(client, number, fills):
-    """Return a job with a task on each runner that serves, or fills."""
+    """Submit a job with a server or filling task for each runner.
+
+    :param fills: make filling tasks, not servers
+    :returns: the ``soak_clients.Told`` of the job
+    """
     work = {'ms': _FILL_MS, 'memory': 100, 'lasts': not fills}
     row = {
-        'count': soak_world.SIDES,
+        'count': soak_world.SIDE_COUNT,
         'memMb': 100,
         'image': 'plan' if fills else 'desk',
         'antiAffinity': 1,
@@ -38,57 +43,61 @@
     }
     if fills:
         work['fills'] = row['fills'] = True
-        row['cpu'] = soak_pressure.FILL_MILLI
+        row['cpu'] = soak_pressure.FILL_CPU_MILLI
     else:
         work['serves'] = True
         row['target_ms'] = soak_pressure.TARGET_MS
     job_id = f'{number:016x}'
     spec = json.dumps({'id': job_id, 'steps': [work]})
-    told = soak_clients.Told(job_id, spec, [row])
-    client.told.append(told)
-    client.submit(told)
-    return told
+    job = soak_clients.Told(job_id, spec, [row])
+    client.jobs.append(job)
+    client.submit(job)
+    return job
 
 
 def check_targets(world, client, number):
-    """Place filling work beside the servers, and see that it gives way.
+    """Place filling tasks beside the servers and check that they yield.
 
-    One side's process is killed before, while its runner goes on.
+    First kills and restarts one side, whose runner continues.
 
-    :returns: a list of sentences, one for each server over its target
+    :param number: the id of the job of filling tasks
+    :returns: a list of messages, one for each server over its target
     """
     restarted = world.sides[number % len(world.sides)]
     world.kill(restarted)
     world.start(restarted)
-    told = make_job(client, number, True)
+    job = make_job(client, number, True)
 
     def all_run():
-        return all(one.runner.list_fills() for one in world.sides)
-
-    # What lasts there may leave no room: then there is nothing to judge.
-    soak_world.wait_until(all_run, _BEGIN_SECONDS)
-    harmed = {one.name for one in world.sides if _presses(one.runner)}
-    print(f'  {len(harmed)} servers beside what fills', flush=True)
-    until = time.monotonic() + HARM_SECONDS
-    while harmed and time.monotonic() < until:
-        harmed -= _find_well(world)
-        time.sleep(_LOOK_SECONDS)
-    client.cancel(told)
+        return all(one.runner.list_fill_paces() for one in world.sides)
+
+    # Runners without room for a filling task are not checked.
+    soak_world.wait_until(all_run, _START_TIMEOUT_SECONDS)
+    over_target = {
+        one.name for one in world.sides if _has_servers_and_fills(one.runner)
+    }
+    print(f'  {len(over_target)} servers beside filling tasks', flush=True)
+    deadline = time.monotonic() + MAX_OVER_TARGET_SECONDS
+    while over_target and time.monotonic() < deadline:
+        over_target -= _find_in_target(world)
+        time.sleep(_POLL_INTERVAL_SECONDS)
+    client.cancel(job)
     return [
-        f'{name}: over the target for {HARM_SECONDS} s, by what fills beside'
-        for name in sorted(harmed)
+        f'{name}: over its target for {MAX_OVER_TARGET_SECONDS} s beside '
+        'filling tasks'
+        for name in sorted(over_target)
     ]
 
 
-def _find_well(world):
-    """Return the names of the sides whose servers are under their target."""
+def _find_in_target(world):
+    """Return the names of the sides whose servers meet their target."""
     return {
         side.name
         for side in world.sides
-        if soak_pressure.find_tail(side.runner.list_fills())
+        if soak_pressure.get_tail_ms(side.runner.list_fill_paces())
         <= soak_pressure.TARGET_MS
     }
 
 
-def _presses(runner):
-    return bool(runner.list_servers() and runner.list_fills())
+def _has_servers_and_fills(runner):
+    return bool(runner.list_servers() and runner.list_fill_paces())
--- a/packages/testing/portwharf/testing/soak_world.py
+++ b/packages/testing/portwharf/testing/soak_world.py
@@ -1,12 +1,12 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The soak's world: portwharf's programs, the platform, and the faults.
+"""The environment of the soak test: processes, platform and relays.
 
-Entries and sides are processes of their own, started as the platform starts
-them, each on a loopback address of its own. The platform's store and the
-runners are stand-ins in this process, so that checks can read their records.
-Relays stand before each side and runner, and before the store for each
-process; the store names them in the register in place of the sides' ports.
+Entries and sides are separate processes on separate loopback addresses,
+started as the platform starts them. The platform's store and the runners are
+stand-ins in this process, so that checks can read their records. Connections
+to each side, to each runner, and from each process to the store pass through
+relays; the store replaces the ports that sides register by those of relays.
 """
 
 import base64
@@ -28,12 +28,12 @@
 from portwharf.testing import soak_runner
 from portwharf import vmlist
 
-SIDES = 4
-ENTRIES = 2
+SIDE_COUNT = 4
+ENTRY_COUNT = 2
 HOST = 'desk.example'
 PREFIX = '/soak/'
-# Availability zones; sides are in each in turn.
-ZONES = 3
+# Availability zones; sides are assigned to them in turn.
+ZONE_COUNT = 3
 POOL = 'soak-pool'
 MAX_FAILURES = 3
 _ROOT = pathlib.Path(__file__).parents[4]
@@ -48,13 +48,20 @@
 _STORE_THREADS = 96
 _RUNNER_THREADS = 12
 _GRACE_SECONDS = 6
-# Speeds of the runners' clocks, within what the leases allow for.
-_SPEEDS = (1.0, 0.985, 1.015, 1.0)
+# Speeds of the runners' clocks relative to real time, within the drift that
+# leases tolerate.
+_CLOCK_SPEEDS = (1.0, 0.985, 1.015, 1.0)
 
 
 @dataclasses.dataclass(slots=True)
 class Program:
-    """One of portwharf's processes."""
+    """One process of portwharf, with its relays and its runner.
+
+    :param handle: the process, or None before the first start
+    :param store: relay from the process to the store
+    :param peers: relay from peers to a side, else None
+    :param orders: relay from a side to its runner, else None
+    """
 
     name: str = ''
     role: str = ''
@@ -67,22 +74,25 @@
     runner: soak_runner.SoakRunner = None
 
     def hush(self):
-        """Have all open connections go silent for good."""
-        for made in (self.store, self.peers, self.orders):
-            if made is not None:
-                made.hush()
+        """Silence all open connections for good, without closing them."""
+        for open_relay in (self.store, self.peers, self.orders):
+            if open_relay is not None:
+                open_relay.hush()
 
 
 class World:
-    """All processes and stand-ins; a context manager that ends them."""
+    """All processes, relays and stand-ins, as a context manager."""
 
     def __init__(self, folder, network):
-        """Take a folder for logs and the second number of the addresses."""
+        """Take a folder for logs and settings, and a network number.
+
+        :param network: the third byte of all loopback addresses
+        """
         self._folder = pathlib.Path(folder)
         self._network = network
         self._stack = contextlib.ExitStack()
         self.store = platform_store.PlatformStoreStandIn()
-        self.store.rewrite = self._name_relay
+        self.store.rewrite = self._replace_port
         self.programs = {}
 
     def __enter__(self):
@@ -93,25 +103,25 @@
 
     def __exit__(self, *exc_info):
         for program in self.programs.values():
-            _end(program.handle)
+            _kill_if_running(program.handle)
         self._stack.close()
 
     @property
     def sides(self):
-        """The programs that are sides."""
+        """The sides among the programs."""
         return [one for one in self.programs.values() if one.role == 'side']
 
     @property
     def entries(self):
-        """The programs that are entries."""
+        """The entries among the programs."""
         return [one for one in self.programs.values() if one.role == 'entry']
 
     def find_client_place(self, program):
-        """Return where clients reach an entry, as (address, port)."""
+        """Return the (address, port) on which an entry serves clients."""
         return program.address, _CLIENT_PORT
 
     def configure(self, version, prefixes):
-        """Write a configuration with a queue for each prefix."""
+        """Store a configuration with a queue for each path prefix."""
         routes = [
             {
                 'name': f'queue-{number}',
@@ -130,7 +140,7 @@
         self.store.set_item('op/config', text)
 
     def close_zone(self, zone, closed):
-        """Close an availability zone to new starts, or take it back."""
+        """Close an availability zone to new starts, or reopen it."""
         key = f'op/evacuate/{zone}'
         if closed:
             self.store.set_item(key, '')
@@ -138,7 +148,7 @@
             self.store.revoke(key)
 
     def start(self, program):
-        """Start a process that is not there."""
+        """Start the process of a program that is not running."""
         log = open(self._folder / f'{program.name}.log', 'ab')
         settings = str(self._folder / f'{program.name}.toml')
         argv = [sys.executable, str(_ROOT / 'deploy/start.py'), program.role]
@@ -152,12 +162,15 @@
             )
 
     def kill(self, program):
-        """Kill a process."""
+        """Kill the process of a program."""
         program.handle.kill()
         program.handle.wait()
 
     def stop(self, program):
-        """Stop a process as planned; returns whether it ended in time."""
+        """Stop a process by SIGTERM; kill it after the grace period.
+
+        :returns: whether it ended within the grace period
+        """
         program.handle.send_signal(signal.SIGTERM)
         with contextlib.suppress(subprocess.TimeoutExpired):
             program.handle.wait(_GRACE_SECONDS)
@@ -166,38 +179,40 @@
         return False
 
     def pause(self, program, paused):
-        """Stop a process where it stands, or let it go on."""
-        number = signal.SIGSTOP if paused else signal.SIGCONT
-        program.handle.send_signal(number)
+        """Pause a process, or resume it."""
+        signal_number = signal.SIGSTOP if paused else signal.SIGCONT
+        program.handle.send_signal(signal_number)
 
     def _start_all(self):
         self._folder.mkdir(parents=True, exist_ok=True)
-        store = self._find_address(1)
-        self._serve(store, _STORE_PORT, self.store, _STORE_THREADS)
+        store_address = self._make_address(1)
+        self._start_server(
+            store_address, _STORE_PORT, self.store, _STORE_THREADS
+        )
         self.configure(1, [PREFIX])
-        for number in range(SIDES):
+        for number in range(SIDE_COUNT):
             self._prepare(f'side-{number}', 'side', 10 + number)
-        for number in range(ENTRIES):
+        for number in range(ENTRY_COUNT):
             self._prepare(f'entry-{number}', 'entry', 50 + number)
         for program in self.programs.values():
             self.start(program)
 
-    def _serve(self, address, port, app, threads):
+    def _start_server(self, address, port, app, threads):
         server = web.Server(address, port, app, threads)
         self._stack.enter_context(server)
 
-    def _find_address(self, number):
+    def _make_address(self, number):
         return f'127.0.{self._network}.{number}'
 
     def _prepare(self, name, role, number):
-        """Write a process's settings, and start what stands around it."""
-        address = self._find_address(number)
+        """Write a process's settings, and open its relays and runner."""
+        address = self._make_address(number)
         enter = self._stack.enter_context
-        zone = f'zone-{number % ZONES}'
+        zone = f'zone-{number % ZONE_COUNT}'
         program = Program(name, role, address, zone)
         program.store = enter(
             relay.Relay(
-                address, _STORE_PORT, _STORE_PORT, self._find_address(1)
+                address, _STORE_PORT, _STORE_PORT, self._make_address(1)
             )
         )
         if role == 'side':
@@ -207,22 +222,22 @@
             program.orders = enter(
                 relay.Relay(address, _RUNNER_RELAY_PORT, _RUNNER_PORT)
             )
-            program.runner = self._open_runner(name, address)
+            program.runner = self._start_runner(name, address)
             program.runner.break_connections = program.orders.cut
         self.programs[name] = program
         path = self._folder / f'{name}.toml'
-        path.write_text(_write_settings(program))
-
-    def _open_runner(self, name, address):
-        place = f'{address}:{_RUNNER_PORT}'
-        control = f'http://{address}:{_CONTROL_PORT}'
-        speed = _SPEEDS[len(self.sides) % len(_SPEEDS)]
-        runner = soak_runner.SoakRunner(name, place, control, speed)
-        self._serve(address, _RUNNER_PORT, runner, _RUNNER_THREADS)
+        path.write_text(_format_settings(program))
+
+    def _start_runner(self, name, address):
+        endpoint = f'{address}:{_RUNNER_PORT}'
+        control_url = f'http://{address}:{_CONTROL_PORT}'
+        speed = _CLOCK_SPEEDS[len(self.sides) % len(_CLOCK_SPEEDS)]
+        runner = soak_runner.SoakRunner(name, endpoint, control_url, speed)
+        self._start_server(address, _RUNNER_PORT, runner, _RUNNER_THREADS)
         return self._stack.enter_context(runner)
 
-    def _name_relay(self, key, value):
-        """Put the relay's port into what a side registers."""
+    def _replace_port(self, key, value):
+        """Replace the port in a side's registration by that of its relay."""
         if not key.startswith(vmlist.PREFIX):
             return value
         vm = codec.unpack(data.Vm, base64.b64decode(value))
@@ -231,25 +246,25 @@
         return base64.b64encode(codec.pack(vm)).decode()
 
 
-def _end(handle):
+def _kill_if_running(handle):
     if handle is None or handle.poll() is not None:
         return
-    # A paused process takes a kill as well.
+    # SIGKILL ends a paused process too; SIGTERM would not.
     handle.kill()
     handle.wait()
 
 
-def wait_until(holds, seconds):
-    """Wait for a condition; returns whether it came about in time."""
+def wait_until(condition, seconds):
+    """Wait until a condition holds; returns whether it did in time."""
     deadline = time.monotonic() + seconds
-    while not holds():
+    while not condition():
         if time.monotonic() > deadline:
             return False
         time.sleep(0.1)
     return True
 
 
-def _write_settings(program):
+def _format_settings(program):
     name, role, address = program.name, program.role, program.address
     listen = [f'control = "{address}:{_CONTROL_PORT}"']
     if role == 'entry':
@@ -257,11 +272,11 @@
             f'front = "{address}:{_CLIENT_PORT}"',
             f'ready = "{address}:{_READY_PORT}"',
         ]
-    serves = 'side' if role == 'side' else 'front'
+    service = 'side' if role == 'side' else 'front'
     lines = [
         f'node = "{name}"',
         f'role = "{role}"',
-        f'serves = ["{serves}"]',
+        f'serves = ["{service}"]',
         f'ip = "{address}"',
         f'zone = "{program.zone}"',
         f'internalPorts = [{_PEER_PORT}, {_PEER_PORT + 5}]',
