--- a/packages/testing/portwharf/testing/bench.py
+++ b/packages/testing/portwharf/testing/bench.py
@@ -58,7 +58,7 @@
     :returns: list of :class:`Row`
     """
     rnd = random.Random(1)
-    interval = SHARDS / settings.STORE_WRITES
+    interval_seconds = SHARDS / settings.STORE_WRITES
     kv, standin = fixtures.make_store()
     logs = [shardlog.ShardLog(kv, shard) for shard in range(SHARDS)]
     for log in logs:
@@ -76,7 +76,7 @@
             _append_next(appends, logs, pending)
         if not pending[shard]:
             append_at = max(arrived_at, next_append[shard])
-            next_append[shard] = append_at + interval
+            next_append[shard] = append_at + interval_seconds
             heapq.heappush(appends, (append_at, next(sequence), shard))
         pending[shard].append(_make_placement_event(number))
     while appends:
@@ -143,7 +143,7 @@
     contents = shardlog.ShardLog(kv, 0).read().ok_value
     restored = state.restore_state(contents)
     cpu_seconds = time.process_time() - began
-    _, peak = tracemalloc.get_traced_memory()
+    _, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     tasks = sum(len(held) for held in restored.held.values())
     if tasks != RUNNING_TASKS + owner.SNAPSHOT_ENTRIES:
@@ -152,7 +152,7 @@
         )
     return [
         Row('take-over, processor time', cpu_seconds, 's', 1.0),
-        Row('take-over, peak memory', peak / 2**20, 'MB', 20.0),
+        Row('take-over, peak memory', peak_bytes / 2**20, 'MB', 20.0),
         Row(
             'snapshot of a busy shard',
             len(shard_state.pack()) / 1000,
@@ -201,12 +201,12 @@
     ]
 
 
-def make_waiting_state(jobs, running, vms):
+def make_waiting_state(waiting, running, vms):
     """Return a state with single-task jobs: some running, others waiting."""
     shard_state = state.ShardState()
     members = [fixtures.make_vm(number) for number in range(vms)]
     shard_state.apply(events.OwnerChanged(1, 'vm-00', members))
-    for number in range(running + jobs):
+    for number in range(running + waiting):
         _add_workload(shard_state, f'job-{number}', 1)
         if number < running:
             vm = f'vm-{number % vms:02d}'
@@ -238,14 +238,14 @@
     for _ in range(100):
         model.observe('lens/fit', 0.5, {'lens/surface-plan': 1}, 0.05)
     judge = remedies.Remedies(model).judge
-    fastest = float('inf')
+    min_seconds = float('inf')
     for _ in range(REPETITIONS):
         views = make_views(vms, cpu_milli)
         began = time.process_time()
         demands = planning.list_demands(shard_state, lambda workload: set(), 0)
         planned = planning.plan(shard_state, demands, views, {}, 10**12, judge)
-        fastest = min(fastest, time.process_time() - began)
-    return fastest, len(planned.placements)
+        min_seconds = min(min_seconds, time.process_time() - began)
+    return min_seconds, len(planned.placements)
 
 
 def time_preemption_search(waiting):
--- a/packages/testing/portwharf/testing/bench_requests.py
+++ b/packages/testing/portwharf/testing/bench_requests.py
@@ -352,8 +352,8 @@
     for name in ('least connections', 'portwharf'):
         by_policy[name] = measure(POLICIES[name], schedule)
         _print_figures(f'{name}, 1.5 times capacity', by_policy[name])
-    good = by_policy['portwharf'].good / CAPACITY_PER_SECOND
-    return [_check_bound('goodput to capacity', good, minimum=0.9)]
+    goodput = by_policy['portwharf'].good / CAPACITY_PER_SECOND
+    return [_check_bound('goodput to capacity', goodput, minimum=0.9)]
 
 
 def bench_noisy_caller():
@@ -364,8 +364,10 @@
     _print_figures('nine callers', before)
     after = measure(routing.EndpointRouter, with_noisy, skip_caller='noisy')
     _print_figures('the same beside a noisy one', after)
-    base = measure(LeastConnectionsRouter, with_noisy, skip_caller='noisy')
-    _print_figures('the same, least connections', base)
+    least_connections = measure(
+        LeastConnectionsRouter, with_noisy, skip_caller='noisy'
+    )
+    _print_figures('the same, least connections', least_connections)
     return [
         _check_bound(
             'p99 to that without', after.p99 / before.p99, maximum=1.1
--- a/packages/testing/portwharf/testing/mutants.py
+++ b/packages/testing/portwharf/testing/mutants.py
@@ -81,7 +81,7 @@
     return walk.Walk(seed, more=True, births=True, jobs=True)
 
 
-def find_failing_seed(seeds, make_walk):
+def find_failing_seed(seeds, walk_factory):
     """Return the first seed whose walk fails, or None.
 
     Any exception counts: a fault may first violate an invariant that the
@@ -89,7 +89,7 @@
     """
     for seed in range(seeds):
         try:
-            make_walk(seed).run()
+            walk_factory(seed).run()
         except Exception:
             return seed
     return None
--- a/packages/testing/portwharf/testing/overload_day.py
+++ b/packages/testing/portwharf/testing/overload_day.py
@@ -266,10 +266,10 @@
             demand.shunned = shunned
         self._patience.apply(demands, self.now)
         planned = planning.plan(self._state, demands, views, {}, self._now_ms)
-        waiting = {one.record.id: one for one in planned.waiting}
+        waiting = {demand.record.id: demand for demand in planned.waiting}
         self._patience.note(waiting, self.now)
-        for one in planned.placements:
-            self._place(one)
+        for placement in planned.placements:
+            self._place(placement)
         self._views = views
 
     def _place(self, placement):
--- a/packages/testing/portwharf/testing/soak.py
+++ b/packages/testing/portwharf/testing/soak.py
@@ -34,7 +34,7 @@
 CLIENTS = 4
 _MAX_FAULT_INTERVAL_SECONDS = 1.6
 _SILENCE_SHARE = 0.15
-_RESIZE_SHARE = 0.25
+_SHRINK_SHARE = 0.25
 _ZONE_CLOSURE_SHARE = 0.2
 _SETTLE_SECONDS = 90.0
 _SEEDS_PATH = pathlib.Path(__file__).parent / 'soak_seeds.toml'
@@ -122,7 +122,7 @@
         print(f'  {time.monotonic():.1f} {name}', flush=True)
 
     def _kill(self):
-        program = self._pick_idle(self._world.programs.values())
+        program = self._pick_undisturbed(self._world.programs.values())
         if program is None:
             return False
         self._world.kill(program)
@@ -138,12 +138,15 @@
             self._world.kill(program)
         for program in self._world.sides:
             self._recover_later(
-                program, 0.5, 2.0, lambda one=program: self._world.start(one)
+                program,
+                0.5,
+                2.0,
+                lambda killed=program: self._world.start(killed),
             )
         return True
 
     def _stop(self):
-        program = self._pick_idle(self._world.programs.values())
+        program = self._pick_undisturbed(self._world.programs.values())
         if program is None:
             return False
         if not self._world.stop(program):
@@ -155,7 +158,7 @@
         )
 
     def _pause(self):
-        program = self._pick_idle(self._world.programs.values())
+        program = self._pick_undisturbed(self._world.programs.values())
         if program is None:
             return False
         self._world.pause(program, True)
@@ -164,11 +167,11 @@
         )
 
     def _disturb_peers(self):
-        return self._disturb_relay(lambda one: one.peers, self._world.sides)
+        return self._disturb_relay(lambda side: side.peers, self._world.sides)
 
     def _disturb_store_relay(self):
         return self._disturb_relay(
-            lambda one: one.store, list(self._world.programs.values())
+            lambda program: program.store, list(self._world.programs.values())
         )
 
     def _disturb_relay(self, find_relay, programs):
@@ -193,13 +196,13 @@
         else:
             relay.silence_ways(mode != 'back', mode != 'onward')
 
-        def mend():
+        def heal():
             relay.refusing = False
             relay.delay = 0.0
             relay.silence(False)
             self._busy.discard(id(relay))
 
-        self._schedule_recovery(0.5, 7.0, mend)
+        self._schedule_recovery(0.5, 7.0, heal)
         return True
 
     def _silence_connections(self):
@@ -218,7 +221,7 @@
         """At random, shrink a runner's capacity for a while."""
         if (
             self._capacity_random is None
-            or self._capacity_random.random() > _RESIZE_SHARE
+            or self._capacity_random.random() > _SHRINK_SHARE
         ):
             return
         runner = self._capacity_random.choice(self._world.sides).runner
@@ -270,11 +273,11 @@
         else:
             self._world.store.forget_history()
 
-        def mend():
+        def heal():
             faults.down = faults.lost = False
             faults.slow_seconds = 0.0
 
-        self._schedule_recovery(0.5, 6.0, mend)
+        self._schedule_recovery(0.5, 6.0, heal)
         return True
 
     def _revoke_registration(self):
@@ -300,9 +303,13 @@
         self._random.choice(self._world.sides).runner.late_starts = 3
         return True
 
-    def _pick_idle(self, programs):
+    def _pick_undisturbed(self, programs):
         """Return a random process without a fault, or None; mark it busy."""
-        free = [one for one in programs if one.name not in self._busy]
+        free = [
+            candidate
+            for candidate in programs
+            if candidate.name not in self._busy
+        ]
         if not free:
             return None
         program = self._random.choice(free)
@@ -310,11 +317,11 @@
         return program
 
     def _recover_later(self, program, min_seconds, max_seconds, action):
-        def mend():
+        def heal():
             action()
             self._busy.discard(program.name)
 
-        self._schedule_recovery(min_seconds, max_seconds, mend)
+        self._schedule_recovery(min_seconds, max_seconds, heal)
         return True
 
     def _schedule_recovery(self, min_seconds, max_seconds, action):
--- a/packages/testing/portwharf/testing/soak_checks.py
+++ b/packages/testing/portwharf/testing/soak_checks.py
@@ -20,8 +20,6 @@
 # was not reported because the side was down, cut off or just starting.
 MAX_CRASHER_STARTS = 5
 MAX_UNREPORTED_STARTS = 3
-
-
 # Time after its closure in which runs may still start in a zone, and the delay
 # of starts that runners left unanswered.
 ZONE_CLOSURE_DELAY_SECONDS = 5.0
@@ -84,54 +82,58 @@
 
 def check_overlapping_runs(jobs, spans):
     """No task has two runs at once."""
-    found = []
+    problems = []
     for task, runs in _group_by_task(spans).items():
-        for one, other in zip(runs, runs[1:], strict=False):
-            if one.ended is None or one.ended > other.began:
+        for run, other in zip(runs, runs[1:], strict=False):
+            if run.ended is None or run.ended > other.began:
                 described = format_runs(runs)
-                found.append(f'{task}: two runs at once: {described}')
-    return found
+                problems.append(f'{task}: two runs at once: {described}')
+    return problems
 
 
 def check_runs_after_completion(jobs, spans):
     """No task starts again after an acknowledged completion."""
-    found = []
+    problems = []
     for task, runs in _group_by_task(spans).items():
-        done = [one for one in runs if one.how == 'done' and one.acked]
-        for one in done:
+        completed = [run for run in runs if run.how == 'done' and run.acked]
+        for run in completed:
             later = [
-                r for r in runs if r.began > one.acked + ACK_DELAY_SECONDS
+                later_run
+                for later_run in runs
+                if later_run.began > run.acked + ACK_DELAY_SECONDS
             ]
             if later:
                 described = format_runs(runs)
-                found.append(
+                problems.append(
                     f'{task}: started again after its acknowledged end: '
                     f'{described}'
                 )
-    return found
+    return problems
 
 
 def check_step_order(jobs, spans):
     """A step starts only when all tasks of the previous step are done."""
-    done = collections.defaultdict(dict)
+    ended_at = collections.defaultdict(dict)
     for span in spans:
         if span.how == 'done':
             job_id, step, number = _split_task_name(span.task)
-            done[(job_id, step)][number] = span.ended
-    found = []
+            ended_at[(job_id, step)][number] = span.ended
+    problems = []
     for span in spans:
         job_id, step, _ = _split_task_name(span.task)
         steps = jobs[job_id].steps if job_id in jobs else []
         if step >= len(steps) or 'watchRev' not in steps[step]:
             continue
-        previous = done[(job_id, step - 1)]
+        previous = ended_at[(job_id, step - 1)]
         required = 1 if steps[step - 1]['gang'] else steps[step - 1]['count']
-        early = [when for when in previous.values() if when <= span.began]
-        if len(early) < required:
-            found.append(
+        ended_before = [
+            when for when in previous.values() if when <= span.began
+        ]
+        if len(ended_before) < required:
+            problems.append(
                 f'{span.task}: started before the previous step was done'
             )
-    return found
+    return problems
 
 
 def check_max_failures(jobs, spans):
@@ -139,34 +141,36 @@
 
     Only acknowledged ends count, since others may be lost with their runner.
     """
-    found = []
+    problems = []
     for task, runs in _group_by_task(spans).items():
         acked = sorted(
-            one.acked for one in runs if one.how == 'failed' and one.acked
+            run.acked for run in runs if run.how == 'failed' and run.acked
         )
         if len(acked) < soak_world.MAX_FAILURES:
             continue
         last = acked[soak_world.MAX_FAILURES - 1] + ACK_DELAY_SECONDS
-        if any(one.began > last for one in runs):
-            found.append(f'{task}: started after its last allowed failure')
-    return found
+        if any(run.began > last for run in runs):
+            problems.append(f'{task}: started after its last allowed failure')
+    return problems
 
 
 def check_specs(jobs, spans):
     """Tasks run with a submitted spec, and resume from own checkpoints."""
-    found = []
+    problems = []
     for span in spans:
         job_id, step, _ = _split_task_name(span.task)
         if job_id not in jobs or jobs[job_id].spec != span.spec:
-            found.append(
+            problems.append(
                 f'{span.task}: spec is not one that a client submitted'
             )
             continue
         owner = span.saved.partition('|')[0]
         gang = jobs[job_id].steps[step]['gang']
         if span.saved and owner != span.task and not gang:
-            found.append(f'{span.task}: resumed from a checkpoint of {owner}')
-    return found
+            problems.append(
+                f'{span.task}: resumed from a checkpoint of {owner}'
+            )
+    return problems
 
 
 def check_refused_jobs(jobs, spans):
@@ -183,24 +187,24 @@
 
 def check_gangs(jobs, spans):
     """Members of a gang run only beside members of the same attempt."""
-    found = []
+    problems = []
     gangs = collections.defaultdict(list)
     for span in spans:
         job_id, step, _ = _split_task_name(span.task)
         if job_id in jobs and jobs[job_id].steps[step]['gang']:
             gangs[(job_id, step)].append(span)
     for (job_id, _), members in gangs.items():
-        members.sort(key=lambda one: one.began)
-        for one, other in zip(members, members[1:], strict=False):
-            overlaps = one.ended is None or one.ended > other.began
-            if overlaps and one.run != other.run:
-                found.append(f'{job_id}: two attempts of a gang at once')
-    return found
+        members.sort(key=lambda span: span.began)
+        for span, other in zip(members, members[1:], strict=False):
+            overlaps = span.ended is None or span.ended > other.began
+            if overlaps and span.run != other.run:
+                problems.append(f'{job_id}: two attempts of a gang at once')
+    return problems
 
 
 def check_final_states(jobs, spans):
     """Every accepted job reaches its expected final state."""
-    found = []
+    problems = []
     for job in jobs.values():
         if not job.accepted or job.cancel_sent:
             continue
@@ -208,10 +212,10 @@
         fails = job.hopeless or job.crashes
         expected = 'failed' if fails else 'completed'
         if last_state != expected:
-            found.append(
+            problems.append(
                 f'{job.id}: final state is {last_state}, expected {expected}'
             )
-    return found
+    return problems
 
 
 def check_cancelled_jobs(jobs, spans):
@@ -226,7 +230,7 @@
 
 def check_crashers(jobs, spans):
     """A task that crashes its runners is given up after enough crashes."""
-    found = []
+    problems = []
     for task, runs in _group_by_task(spans).items():
         job_id, step, number = _split_task_name(task)
         is_crasher = job_id in jobs and jobs[job_id].crashes
@@ -234,10 +238,10 @@
             continue
         if len(runs) > MAX_CRASHER_STARTS + MAX_UNREPORTED_STARTS:
             described = format_runs(runs)
-            found.append(
+            problems.append(
                 f'{task}: started too often after crashes: {described}'
             )
-    return found
+    return problems
 
 
 def format_runs(runs):
@@ -256,7 +260,7 @@
     for span in spans:
         runs[span.task].append(span)
     for rows in runs.values():
-        rows.sort(key=lambda one: one.began)
+        rows.sort(key=lambda span: span.began)
     return runs
 
 
--- a/packages/testing/portwharf/testing/soak_runner.py
+++ b/packages/testing/portwharf/testing/soak_runner.py
@@ -27,8 +27,8 @@
 _TICK_INTERVAL_SECONDS = 0.02
 # Delay of a heartbeat that arrives after the end of its life.
 _LATE_HEARTBEAT_SECONDS = 1.7
-# Time before an order fails without being carried out; longer than a side
-# waits for the answer.
+# Time after which a late start is answered with status 500; longer than a side
+# waits for an answer.
 _UNANSWERED_SECONDS = 0.6
 # Time from the start of a crasher to the crash of its runner.
 _CRASH_DELAY_SECONDS = 0.02
@@ -94,14 +94,14 @@
 class SoakRunner(platform_runner.RunnerStandIn):
     """One runner; sends heartbeats while used as a context manager."""
 
-    def __init__(self, name, address, control, speed):
+    def __init__(self, name, address, control_url, speed):
         """Take the runner's name and address, and its side's control URL.
 
         :param speed: speed of its clock, relative to real time
         """
         self._name = name
         self._address = address
-        self._control_url = control
+        self._control_url = control_url
         self._speed = speed
         self._life_count = 0
         self.record = []
@@ -276,14 +276,14 @@
             work = read_work(span.spec, task)
             has_checkpoint = work.saves and how in ('stopped', 'lapsed')
             saved = (
-                f'{task}|{self._count_done_ms(span)}' if has_checkpoint else ''
+                f'{task}|{self._get_done_ms(span)}' if has_checkpoint else ''
             )
             self._end_span(span, how)
         super()._note_end(task, run, how, saved)
         if span is not None:
             self.numbered_ends[self._numbers] = span
 
-    def _count_done_ms(self, span):
+    def _get_done_ms(self, span):
         """Return the work done by a run, resumed work included, in ms."""
         before = int(span.saved.rpartition('|')[2] or 0)
         return before + int((time.monotonic() - span.began) * 1000)
@@ -317,7 +317,7 @@
 
     def _end_if_done(self, span):
         work = read_work(span.spec, span.task)
-        if work.lasts or self._count_done_ms(span) < work.ms:
+        if work.lasts or self._get_done_ms(span) < work.ms:
             return
         how = 'failed' if span.run <= work.fails else 'done'
         self._end_run(span.task, how)
@@ -336,13 +336,13 @@
                 self._send_heartbeat(*delayed.pop(0)[1:])
             if self.silent:
                 continue
-            previous, last = last, (self.instance, self._make_soak_beat())
+            previous, last = last, (self.instance, self._make_heartbeat())
             if previous is not None and previous[1]['born'] != last[1]['born']:
                 delayed.append((now + _LATE_HEARTBEAT_SECONDS, *previous))
             self._send_heartbeat(*last)
 
-    def _make_soak_beat(self):
-        room = {'cpu': self.cpu_milli, 'memMb': MEMORY_MB, 'gpu': 0}
+    def _make_heartbeat(self):
+        capacity_map = {'cpu': self.cpu_milli, 'memMb': MEMORY_MB, 'gpu': 0}
         with self._lock:
             return self.make_beat(
                 service='soak-pool',
@@ -352,7 +352,7 @@
                 slots=8,
                 state='draining' if self.draining else 'ready',
                 coldLeftMs=0,
-                capacity=room,
+                capacity=capacity_map,
                 labels=['a', 'r1'],
                 clockMs=self.read_ms(),
             )
--- a/packages/testing/portwharf/testing/soak_targets.py
+++ b/packages/testing/portwharf/testing/soak_targets.py
@@ -26,14 +26,14 @@
 JOB_IDS_PER_SEED = 256
 
 
-def make_job(client, number, fills):
+def make_job(client, job_number, fills):
     """Submit a job with a server or filling task for each runner.
 
     :param fills: make filling tasks, not servers
     :returns: the ``soak_clients.Told`` of the job
     """
-    work = {'ms': _FILL_MS, 'memory': 100, 'lasts': not fills}
-    row = {
+    step_spec = {'ms': _FILL_MS, 'memory': 100, 'lasts': not fills}
+    step = {
         'count': soak_world.SIDE_COUNT,
         'memMb': 100,
         'image': 'plan' if fills else 'desk',
@@ -42,39 +42,41 @@
         'gang': False,
     }
     if fills:
-        work['fills'] = row['fills'] = True
-        row['cpu'] = soak_pressure.FILL_CPU_MILLI
+        step_spec['fills'] = step['fills'] = True
+        step['cpu'] = soak_pressure.FILL_CPU_MILLI
     else:
-        work['serves'] = True
-        row['target_ms'] = soak_pressure.TARGET_MS
-    job_id = f'{number:016x}'
-    spec = json.dumps({'id': job_id, 'steps': [work]})
-    job = soak_clients.Told(job_id, spec, [row])
+        step_spec['serves'] = True
+        step['target_ms'] = soak_pressure.TARGET_MS
+    job_id = f'{job_number:016x}'
+    spec = json.dumps({'id': job_id, 'steps': [step_spec]})
+    job = soak_clients.Told(job_id, spec, [step])
     client.jobs.append(job)
     client.submit(job)
     return job
 
 
-def check_targets(world, client, number):
+def check_targets(world, client, job_number):
     """Place filling tasks beside the servers and check that they yield.
 
     First kills and restarts one side, whose runner continues.
 
-    :param number: the id of the job of filling tasks
+    :param job_number: the id of the job, which also selects the side
     :returns: a list of messages, one for each server over its target
     """
-    restarted = world.sides[number % len(world.sides)]
+    restarted = world.sides[job_number % len(world.sides)]
     world.kill(restarted)
     world.start(restarted)
-    job = make_job(client, number, True)
+    job = make_job(client, job_number, True)
 
     def all_run():
-        return all(one.runner.list_fill_paces() for one in world.sides)
+        return all(side.runner.list_fill_paces() for side in world.sides)
 
     # Runners without room for a filling task are not checked.
     soak_world.wait_until(all_run, _START_TIMEOUT_SECONDS)
     over_target = {
-        one.name for one in world.sides if _has_servers_and_fills(one.runner)
+        side.name
+        for side in world.sides
+        if _has_servers_and_fills(side.runner)
     }
     print(f'  {len(over_target)} servers beside filling tasks', flush=True)
     deadline = time.monotonic() + MAX_OVER_TARGET_SECONDS
--- a/packages/testing/portwharf/testing/soak_world.py
+++ b/packages/testing/portwharf/testing/soak_world.py
@@ -109,12 +109,20 @@
     @property
     def sides(self):
         """The sides among the programs."""
-        return [one for one in self.programs.values() if one.role == 'side']
+        return [
+            program
+            for program in self.programs.values()
+            if program.role == 'side'
+        ]
 
     @property
     def entries(self):
         """The entries among the programs."""
-        return [one for one in self.programs.values() if one.role == 'entry']
+        return [
+            program
+            for program in self.programs.values()
+            if program.role == 'entry'
+        ]
 
     def find_client_place(self, program):
         """Return the (address, port) on which an entry serves clients."""
