--- a/packages/testing/portwharf/testing/agent_bench.py
+++ b/packages/testing/portwharf/testing/agent_bench.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An agent that is stepped by hand, with a worker and an owner."""
+"""Harness for the side's agent: manual clock, fake worker, fake owner."""
 
 import result
 
@@ -19,10 +19,10 @@
 
 
 class FakeWorker(workers.Worker):
-    """Notes what it is told; tasks run until they are stopped."""
+    """Records the calls it receives; its tasks never finish by themselves."""
 
-    def __init__(self, now):
-        self._clock = now
+    def __init__(self, worker_clock):
+        self._clock = worker_clock
         self.listing = workers.Listing(0, data.Resources(4000, 4000))
         self.calls = []
         self.renewed = 0
@@ -59,31 +59,34 @@
 
 
 class FakeConn:
-    """The owner's end of a connection: keeps what it is sent."""
+    """The agent's connection to the owner: records what the agent sends."""
 
     def __init__(self):
         self.sent = []
 
     def try_send(self, message):
-        """Keep a message."""
+        """Record a message; always succeeds."""
         self.sent.append(message)
         return True
 
     def close(self):
-        """There is nothing to close."""
+        """Do nothing; there is no socket."""
 
     def take(self, cls):
-        """Return the messages of a class sent since the last time."""
+        """Remove and return the recorded messages of a class."""
         found = [m for m in self.sent if isinstance(m, cls)]
         self.sent = [m for m in self.sent if not isinstance(m, cls)]
         return found
 
 
 class Bench:
-    """An agent that is stepped by hand, under an owner of epoch 3."""
+    """An agent under an owner of epoch 3; the test advances its clock."""
 
     def __init__(self, worker=None):
-        """Take the worker; None for a :class:`FakeWorker`."""
+        """Create the agent and connect it to an owner.
+
+        :param worker: None for a :class:`FakeWorker`
+        """
         self.clock = clock.ManualClock()
         self.guard = guard.Guard(self.clock, LIMITS)
         self.guard.learn_epoch(3)
@@ -95,7 +98,7 @@
         self.conn = self.connect()
 
     def connect(self):
-        """Give the agent a new connection to an owner."""
+        """Connect the agent to the owner anew; returns the connection."""
         self.guard.accept_owner(3, 'vm-9')
         conn = FakeConn()
         self.agent.take_owner(conn)
@@ -103,17 +106,17 @@
         return conn
 
     def grant(self):
-        """Give the side a valid grant, as of now."""
+        """Give the side a grant that is valid from now."""
         self.guard.accept_grant(3, self.clock.read_monotonic(), True)
 
     def step(self, seconds=0.0):
-        """Let time go by, then let the agent do all that is due."""
+        """Advance the clock, then let the agent do everything that is due."""
         self.clock.advance(seconds)
         for _ in range(5):
             self.agent.step()
 
     def start(self, task='w.0', attempt=1, conn=None, **fields):
-        """Send a start and let the agent carry it out."""
+        """Send a start command and let the agent execute it."""
         message = messages.StartTask(3, task, attempt, resources=SIZE)
         message.exclusive = True
         for name, value in fields.items():
@@ -122,7 +125,7 @@
         self.step()
 
     def list_refused(self):
-        """Return the reasons of the refusals reported since last time."""
+        """Take all reports sent so far; returns the reasons of refusals."""
         return [
             report.reason
             for message in self.conn.take(messages.Reports)
@@ -135,19 +138,19 @@
 
 
 def lose_answers(bench, *answers):
-    """Have the worker's next starts give these instead of starting."""
-    given = list(answers)
-    really = bench.worker.start
+    """Make the worker's next starts return these answers and start nothing."""
+    queued = list(answers)
+    start_task = bench.worker.start
 
     def start(message):
         bench.worker.calls.append(('start', message.task, message.attempt))
-        return given.pop(0) if given else really(message)
+        return queued.pop(0) if queued else start_task(message)
 
     bench.worker.start = start
 
 
 def list_gone(bench):
-    """Return the attempts reported as gone since last time."""
+    """Take all reports sent so far; returns the attempts that are gone."""
     return [
         (report.task, report.attempt)
         for message in bench.conn.take(messages.Reports)
--- a/packages/testing/portwharf/testing/certificates.py
+++ b/packages/testing/portwharf/testing/certificates.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Certificates for tests: an authority that lasts an hour."""
+"""Short-lived TLS certificates for tests."""
 
 import datetime
 
@@ -15,33 +15,38 @@
 
 
 class Authority:
-    """Signs certificates and writes them as PEM files."""
+    """A certificate authority that writes its certificates as PEM files."""
 
     def __init__(self, folder):
-        """Take a folder for the files."""
+        """Create the key and the self-signed certificate.
+
+        :param folder: ``pathlib.Path`` that the PEM files are written to
+        """
         self._folder = folder
         self._key = ec.generate_private_key(ec.SECP256R1())
         self._name = _make_name('authority')
         self._certificate = self._sign('authority', self._key, True)
-        self._path = folder / 'authority.pem'
-        self._path.write_bytes(_write(self._certificate))
+        self._certificate_path = folder / 'authority.pem'
+        self._certificate_path.write_bytes(_encode_pem(self._certificate))
 
     def issue(self, name):
-        """Return the ``tls.TlsFiles`` of a new certificate."""
+        """Issue a certificate and its key; returns their ``tls.TlsFiles``."""
         key = ec.generate_private_key(ec.SECP256R1())
-        certificate = self._folder / f'{name}.pem'
-        certificate.write_bytes(_write(self._sign(name, key, False)))
-        secret = self._folder / f'{name}.key'
-        secret.write_bytes(
+        certificate_path = self._folder / f'{name}.pem'
+        certificate_path.write_bytes(_encode_pem(self._sign(name, key, False)))
+        key_path = self._folder / f'{name}.key'
+        key_path.write_bytes(
             key.private_bytes(
                 serialization.Encoding.PEM,
                 serialization.PrivateFormat.PKCS8,
                 serialization.NoEncryption(),
             )
         )
-        return tls.TlsFiles(str(certificate), str(secret), str(self._path))
+        return tls.TlsFiles(
+            str(certificate_path), str(key_path), str(self._certificate_path)
+        )
 
-    def _sign(self, name, key, authority):
+    def _sign(self, name, key, is_authority):
         now = datetime.datetime.now(datetime.timezone.utc)
         builder = (
             x509.CertificateBuilder()
@@ -51,7 +56,7 @@
             .serial_number(x509.random_serial_number())
             .not_valid_before(now - _LIFETIME)
             .not_valid_after(now + _LIFETIME)
-            .add_extension(x509.BasicConstraints(authority, None), True)
+            .add_extension(x509.BasicConstraints(is_authority, None), True)
         )
         return builder.sign(self._key, hashes.SHA256())
 
@@ -62,5 +67,5 @@
     )
 
 
-def _write(certificate):
+def _encode_pem(certificate):
     return certificate.public_bytes(serialization.Encoding.PEM)
--- a/packages/testing/portwharf/testing/fixtures.py
+++ b/packages/testing/portwharf/testing/fixtures.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What tests share: the real adapters on stand-ins, without sockets.
+"""Fixtures shared by tests: the real adapters on fakes, without sockets.
 
-Each fixture is a context manager or a plain function; a test takes it by
-``case.enterContext`` or calls it.
+Each fixture is a context manager, to be passed to ``case.enterContext``, or
+a plain function.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """An HTTP response as ``urllib3`` would give it."""
+    """The part of a ``urllib3`` response that the adapters use."""
 
     status: int = 0
     data: bytes = b''
@@ -28,9 +28,9 @@
 
 
 class WsgiPool:
-    """Calls a WSGI application as if by ``urllib3``, in this thread.
+    """Replaces a ``urllib3`` pool: calls a WSGI application directly.
 
-    :cvar pool: no connections are kept
+    :cvar pool: None, as there are no pooled connections
     """
 
     pool = None
@@ -39,37 +39,40 @@
         self._app = app
 
     def request(self, method, path, body=b'', headers=None, **_):
-        """Make one request and return the whole response."""
-        raw = body.encode() if isinstance(body, str) else body or b''
+        """Call the application and return its :class:`Response`."""
+        payload = body.encode() if isinstance(body, str) else body or b''
         response = Response()
         environ = {
             'REQUEST_METHOD': method,
             'PATH_INFO': path,
-            'CONTENT_LENGTH': str(len(raw)),
-            'wsgi.input': io.BytesIO(raw),
+            'CONTENT_LENGTH': str(len(payload)),
+            'wsgi.input': io.BytesIO(payload),
         }
         for name, value in (headers or {}).items():
-            key = 'HTTP_' + name.upper().replace('-', '_')
-            environ[key] = value
+            environ_name = 'HTTP_' + name.upper().replace('-', '_')
+            environ[environ_name] = value
 
-        def start_response(status, pairs):
+        def start_response(status, header_pairs):
             response.status = int(status.split()[0])
-            response.headers = dict(pairs)
+            response.headers = dict(header_pairs)
 
         response.data = b''.join(self._app(environ, start_response))
         return response
 
     def close(self):
-        """There is nothing to close."""
+        """Do nothing; there are no connections."""
 
 
 def open_store(pool):
-    """Return the real store adapter on a pool."""
+    """Return the real store adapter, using a pool."""
     return store.EtcdStore(pool)
 
 
 def make_store(standin=None):
-    """Return the real store adapter on a stand-in, and the stand-in."""
+    """Return the real store adapter on a fake store, and the fake.
+
+    :param standin: None for a new one
+    """
     standin = standin or kv.StoreStandIn()
     return store.EtcdStore(WsgiPool(standin)), standin
 
@@ -82,7 +85,7 @@
 
 
 def make_workload(**fields):
-    """Return a batch job that is right, with some fields otherwise."""
+    """Return a valid batch ``data.Workload``; fields override its values."""
     values = {
         'name': 'plans',
         'team': 'lens',
@@ -96,7 +99,7 @@
 
 
 def make_vm(number, **fields):
-    """Return an endpoint VM of a shard, by its number."""
+    """Return the endpoint VM of this number; fields override its values."""
     vm = data.Vm(f'vm-{number:02d}', '127.0.0.1', 1000 + number)
     vm.availability_zone = f'zone-{number % 3}'
     vm.rack = f'rack-{number // 3}'
@@ -106,9 +109,10 @@
 
 
 def make_authority(case):
-    """Make an authority and certificates signed by it, in a folder.
+    """Create a certificate authority in a temporary folder.
 
-    :returns: function of a name giving ``tls.TlsFiles``
+    :returns: function that issues a certificate for a name and returns its
+        ``tls.TlsFiles``
     """
     folder = pathlib.Path(case.enterContext(tempfile.TemporaryDirectory()))
     return certificates.Authority(folder).issue
--- a/packages/testing/portwharf/testing/kv.py
+++ b/packages/testing/portwharf/testing/kv.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A stand-in for the platform's key-value service.
+"""In-memory fake of the platform's key-value service.
 
-It answers the calls of the etcd v3 JSON gateway that the store adapter
-makes, from memory, and can be told to be down, slow, to lose answers after
-the effect, to drop watches, or to refuse calls over a rate. It counts every
-call, a waiting watch as one.
+It serves the calls of the etcd v3 JSON gateway that the store adapter makes.
+Faults can be injected: the service is down or slow, loses requests or
+answers, drops watches, or limits the rate of writes. Calls are counted; a
+watch counts as one call.
 """
 
 import base64
@@ -22,11 +22,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What is wrong with the store now.
-
-    :param lose_answers: this many changes take effect without an answer
-    :param lose_requests: this many changes are dropped without an answer
-    :param writes_per_second: more are refused; 0 for no limit
+    """The faults that the store injects.
+
+    :param down: calls are answered with 503, and watches end
+    :param slow_seconds: each call is delayed by this
+    :param lose_answers: number of writes that take effect, then get a 504
+    :param lose_requests: number of writes that get a 504 without effect
+    :param drop_watches: watches end
+    :param writes_per_second: writes above this get a 429; 0 for no limit
     """
 
     down: bool = False
@@ -45,7 +48,10 @@
 
 
 class StoreStandIn:
-    """The key-value service, as a WSGI application."""
+    """The key-value service, as a WSGI application.
+
+    Keys and values are kept in base64, as the protocol sends them.
+    """
 
     def __init__(self):
         self.faults = Faults()
@@ -53,12 +59,12 @@
         self.writes = 0
         self.watches = 0
         self._values = {}
-        # When keys were deleted, by their names: the store's revision.
-        self._gone = {}
+        # Revision at which each deleted key was deleted, by decoded key.
+        self._deleted_revisions = {}
         self._revision = 1
-        self._changed = threading.Condition()
-        self._second = 0
-        self._written = 0
+        self._condition = threading.Condition()
+        self._rate_second = 0
+        self._writes_this_second = 0
 
     def __call__(self, environ, start_response):
         path = environ['PATH_INFO']
@@ -75,31 +81,34 @@
         if path == '/v3/watch':
             self.watches += 1
             return self._watch(body['create_request'], start_response)
-        return self._change(path, body, start_response)
+        return self._handle_write(path, body, start_response)
 
     def close(self):
-        """End all watches, so that the server can stop."""
+        """End all watches, so that the server's threads can stop."""
         self.faults.drop_watches = True
 
     def put(self, key, value):
-        """Write a key from outside, as the platform's owner might."""
-        with self._changed:
+        """Write a key directly, bypassing the faults.
+
+        :param value: bytes
+        """
+        with self._condition:
             self._put(_encode(key), base64.b64encode(value).decode())
 
     def remove(self, key):
-        """Delete a key from outside."""
-        with self._changed:
+        """Delete a key directly, bypassing the faults."""
+        with self._condition:
             self._delete({'key': _encode(key)})
-            self._changed.notify_all()
+            self._condition.notify_all()
 
     def list_keys(self):
-        """Return all keys, as text, in order."""
-        with self._changed:
+        """Return all keys, decoded and sorted."""
+        with self._condition:
             names = [base64.b64decode(key).decode() for key in self._values]
         return sorted(names)
 
     def _control(self, body, start_response):
-        """Set faults; answer with the counts of calls."""
+        """Set the faults that the body names; answers the call counts."""
         for name, value in body.items():
             setattr(self.faults, name, value)
         counts = {
@@ -109,8 +118,8 @@
         }
         return web.answer_json(start_response, 200, counts)
 
-    def _change(self, path, body, start_response):
-        with self._changed:
+    def _handle_write(self, path, body, start_response):
+        with self._condition:
             self.writes += 1
             if self._is_over_rate():
                 return _refuse(start_response, 429)
@@ -123,7 +132,7 @@
                 value = self._delete(body)
             else:
                 return _refuse(start_response, 404)
-            self._changed.notify_all()
+            self._condition.notify_all()
             if self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
                 return _refuse(start_response, 504)
@@ -132,11 +141,11 @@
     def _is_over_rate(self):
         limit = self.faults.writes_per_second
         second = int(time.monotonic())
-        if second != self._second:
-            self._second = second
-            self._written = 0
-        self._written += 1
-        return bool(limit) and self._written > limit
+        if second != self._rate_second:
+            self._rate_second = second
+            self._writes_this_second = 0
+        self._writes_this_second += 1
+        return bool(limit) and self._writes_this_second > limit
 
     def _transact(self, body):
         for compare in body.get('compare', []):
@@ -147,14 +156,14 @@
         for operation in body.get('success', []):
             put = operation['request_put']
             if len(put['value']) * 3 // 4 > store.MAX_VALUE_BYTES:
-                raise ValueError('the value is too large for the store')
+                raise ValueError('value exceeds store.MAX_VALUE_BYTES')
             self._put(put['key'], put['value'])
         return {'header': self._header(), 'succeeded': True}
 
     def _put(self, key, value):
         self._revision += 1
         self._values[key] = _Value(value, self._revision)
-        self._changed.notify_all()
+        self._condition.notify_all()
 
     def _delete(self, body):
         keys = self._select(body)
@@ -163,17 +172,17 @@
         for key in keys:
             del self._values[key]
             name = base64.b64decode(key).decode()
-            self._gone[name] = self._revision
+            self._deleted_revisions[name] = self._revision
         return {'header': self._header(), 'deleted': str(len(keys))}
 
     def _range(self, body):
-        with self._changed:
+        with self._condition:
             keys = self._select(body)
             limit = int(body.get('limit', 0) or 0)
             if limit:
                 keys = keys[:limit]
-            bare = body.get('keys_only', False)
-            kvs = [self._show(key, bare) for key in keys]
+            keys_only = body.get('keys_only', False)
+            kvs = [self._format_item(key, keys_only) for key in keys]
             return {'header': self._header(), 'kvs': kvs}
 
     def _select(self, body):
@@ -181,14 +190,18 @@
         last = body.get('range_end')
         if not last:
             return [first] if first in self._values else []
-        low, high = base64.b64decode(first), base64.b64decode(last)
-        named = {base64.b64decode(key): key for key in self._values}
-        return [named[raw] for raw in sorted(named) if low <= raw < high]
+        first_name, end_name = base64.b64decode(first), base64.b64decode(last)
+        keys_by_name = {base64.b64decode(key): key for key in self._values}
+        return [
+            keys_by_name[raw]
+            for raw in sorted(keys_by_name)
+            if first_name <= raw < end_name
+        ]
 
-    def _show(self, key, bare=False):
+    def _format_item(self, key, keys_only=False):
         known = self._values[key]
         shown = {'key': key, 'mod_revision': str(known.revision)}
-        if not bare:
+        if not keys_only:
             shown['value'] = known.value
         return shown
 
@@ -201,40 +214,40 @@
 
     def _stream_changes(self, create):
         start = int(create['start_revision'])
-        yield _line({'result': {'created': True}})
+        yield _encode_line({'result': {'created': True}})
         while not self.faults.down and not self.faults.drop_watches:
-            with self._changed:
+            with self._condition:
                 event = self._find_event(create, start)
                 if event is None:
-                    self._changed.wait(_WATCH_POLL_SECONDS)
+                    self._condition.wait(_WATCH_POLL_SECONDS)
                     continue
                 start = int(event['kv']['mod_revision']) + 1
-            yield _line({'result': {'events': [event]}})
+            yield _encode_line({'result': {'events': [event]}})
 
     def _find_event(self, create, start):
-        """Return the first change to what a watch asks for, or None."""
-        shown = [self._show(key) for key in self._select(create)]
+        """Return the earliest event of a watch since a revision, or None."""
+        shown = [self._format_item(key) for key in self._select(create)]
         shown += [
             {'key': _encode(name), 'mod_revision': str(revision)}
-            for name, revision in self._gone.items()
+            for name, revision in self._deleted_revisions.items()
             if self._is_watched(create, name)
         ]
-        fresh = [one for one in shown if int(one['mod_revision']) >= start]
-        if not fresh:
+        recent = [row for row in shown if int(row['mod_revision']) >= start]
+        if not recent:
             return None
-        first = min(fresh, key=lambda one: int(one['mod_revision']))
+        first = min(recent, key=lambda row: int(row['mod_revision']))
         return {'kv': first}
 
     def _is_watched(self, create, name):
-        """Tell whether a watch asks for a key that has gone."""
+        """Return whether a deleted key is in a watch's range."""
         last = create.get('range_end')
-        low = base64.b64decode(create['key'])
+        first_name = base64.b64decode(create['key'])
         if not last:
             return False
-        return low <= name.encode() < base64.b64decode(last)
+        return first_name <= name.encode() < base64.b64decode(last)
 
 
-def _line(value):
+def _encode_line(value):
     return json.dumps(value).encode() + b'\n'
 
 
--- a/packages/testing/portwharf/testing/launcher.py
+++ b/packages/testing/portwharf/testing/launcher.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Starts a deployment of plain processes on loopback addresses.
+"""Starts a deployment as local processes on loopback addresses.
 
-Every VM and entry gets settings of its own, written from one deployment
-file. Only this launcher starts processes; portwharf's own start none.
+One deployment file describes it. The launcher writes a settings file for
+each side and entry, and starts them and the fakes of the external services.
 """
 
 import contextlib
@@ -24,18 +24,18 @@
 
 _READY_SECONDS = 30
 _STOP_SECONDS = 20
-_SIDE_PORTS = 100
-_PAGES_PORTS = 200
-_WORKER_PORTS = 300
-_RUNNER_PORTS = 400
-_STORE_PORT = 1
-_LIST_PORT = 2
-_ENTRY_PORTS = 10
+_SIDE_PORT_OFFSET = 100
+_PAGES_PORT_OFFSET = 200
+_WORKER_PORT_OFFSET = 300
+_RUNNER_PORT_OFFSET = 400
+_STORE_PORT_OFFSET = 1
+_VM_LIST_PORT_OFFSET = 2
+_ENTRY_PORT_OFFSET = 10
 
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """One process that the launcher started."""
+    """A process that the launcher started; ``argv`` serves to restart it."""
 
     name: str = ''
     argv: list = dataclasses.field(default_factory=list)
@@ -43,19 +43,26 @@
 
 
 class Deployment:
-    """All processes of a deployment; a context manager that ends them."""
+    """The processes of a deployment; a context manager that runs them.
+
+    :ivar extra_side_settings: TOML that is added to each side's settings
+    """
 
     def __init__(self, path, folder):
-        """Take a deployment file and a folder for settings and logs."""
+        """Read a deployment file; no process is started yet.
+
+        :param path: path of the deployment file
+        :param folder: folder for settings and logs
+        """
         with open(path, 'rb') as source:
             self.spec = tomllib.load(source)
         self.folder = pathlib.Path(folder)
         self.processes = {}
-        self._base = self.spec['deployment']['base_port']
+        self._base_port = self.spec['deployment']['base_port']
         self._address = self.spec['deployment']['address']
         self._shards = self.spec['deployment'].get('shards', 1)
-        self._http = urllib3.PoolManager(retries=False, timeout=2.0)
-        self.extra_side = ''
+        self._pool = urllib3.PoolManager(retries=False, timeout=2.0)
+        self.extra_side_settings = ''
 
     def __enter__(self):
         try:
@@ -70,28 +77,28 @@
 
     @property
     def entries(self):
-        """IP:PORT of each entry."""
+        """IP:PORT of each entry, as text."""
         count = self.spec['deployment']['entries']
         return [
-            f'{self._address}:{self._base + _ENTRY_PORTS + number}'
+            f'{self._address}:{self._base_port + _ENTRY_PORT_OFFSET + number}'
             for number in range(count)
         ]
 
     def list_vms(self):
-        """Return all VMs of the deployment as the VM list shows them."""
+        """Return the VMs of sides and entries, as the VM list has them."""
         spec = self.spec['deployment']
         zones = spec['zones']
         vms = []
         for number in range(spec['vms']):
             rack = number // spec['vms_in_a_rack']
             zone = zones[rack % len(zones)]
-            port = self._base + _SIDE_PORTS + number
+            port = self._base_port + _SIDE_PORT_OFFSET + number
             name = f'vm-{number:02d}'
             vm = data.Vm(name, self._address, port, zone, f'rack-{rack}')
             vm.shard = number % self._shards
             vms.append(vm)
         for number in range(spec['entries']):
-            port = self._base + _ENTRY_PORTS + number
+            port = self._base_port + _ENTRY_PORT_OFFSET + number
             zone = zones[number % len(zones)]
             vm = data.Vm(f'entry-{number}', self._address, port, zone, 'none')
             vm.role = data.Role.ENTRY
@@ -99,23 +106,26 @@
         return vms
 
     def start_all(self):
-        """Start stand-ins, sides and entries, and wait until all listen."""
+        """Start fakes, sides and entries; returns once all entries are ready.
+
+        :raises RuntimeError: one is not ready in time
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
-        self._start_platform()
+        self._start_platform_fakes()
         vms = self.list_vms()
         sides = [vm for vm in vms if vm.role == data.Role.ENDPOINT]
         for number, _ in enumerate(sides):
-            self._start_vm(number)
+            self._start_vm_fakes(number)
         for number, vm in enumerate(sides):
             self._start_side(number, vm)
         for vm in vms:
             if vm.role == data.Role.ENTRY:
                 self._start_entry(vm)
-        for place in self.entries:
-            self._wait_ready(f'http://{place}/readyz')
+        for endpoint in self.entries:
+            self._wait_ready(f'http://{endpoint}/readyz')
 
     def stop_all(self):
-        """Stop entries first, then sides, then stand-ins."""
+        """Stop entries first, then sides, then fakes; kill any that hangs."""
         for process in reversed(list(self.processes.values())):
             self.stop(process.name, wait=False)
         for process in self.processes.values():
@@ -126,7 +136,10 @@
             process.handle.wait()
 
     def stop(self, name, wait=True):
-        """Ask a process for a planned stop."""
+        """Resume a process and ask it to stop.
+
+        :param wait: whether to wait until it ends
+        """
         handle = self.processes[name].handle
         with contextlib.suppress(ProcessLookupError):
             handle.send_signal(signal.SIGCONT)
@@ -135,7 +148,7 @@
             handle.wait(_STOP_SECONDS)
 
     def kill(self, name):
-        """Kill a process."""
+        """Kill a process and wait until it ends."""
         handle = self.processes[name].handle
         handle.kill()
         handle.wait()
@@ -145,88 +158,100 @@
         self.processes[name].handle.send_signal(number)
 
     def restart(self, name):
-        """Start a process again that has ended."""
+        """Start an ended process again, with the same arguments."""
         self._spawn(name, self.processes[name].argv)
 
     def fetch(self, url, body=None):
-        """Get, or post to, a stand-in's page; returns JSON."""
+        """Request a URL and return the JSON that it answers.
+
+        :param body: value to post as JSON; None for a GET request
+        """
         method = 'GET' if body is None else 'POST'
         raw = None if body is None else json.dumps(body)
-        return json.loads(self._http.request(method, url, body=raw).data)
+        return json.loads(self._pool.request(method, url, body=raw).data)
 
     def get_url(self, kind, number=0):
-        """Return the URL of a stand-in or of a side's pages.
+        """Return the URL of a fake or of a side's pages.
 
         :param kind: store, vm_list, worker, runner or pages
+        :param number: the VM's number, except for store and vm_list
         """
         port = {
-            'store': _STORE_PORT,
-            'vm_list': _LIST_PORT,
-            'worker': _WORKER_PORTS + number,
-            'runner': _RUNNER_PORTS + number,
-            'pages': _PAGES_PORTS + number,
+            'store': _STORE_PORT_OFFSET,
+            'vm_list': _VM_LIST_PORT_OFFSET,
+            'worker': _WORKER_PORT_OFFSET + number,
+            'runner': _RUNNER_PORT_OFFSET + number,
+            'pages': _PAGES_PORT_OFFSET + number,
         }[kind]
-        return f'http://{self._address}:{self._base + port}'
+        return f'http://{self._address}:{self._base_port + port}'
 
     def read_pid(self, name):
         """Return the process id of a process."""
         return self.processes[name].handle.pid
 
-    def _place(self, offset):
-        return {'address': self._address, 'port': self._base + offset}
+    def _make_endpoint(self, offset):
+        return {'address': self._address, 'port': self._base_port + offset}
 
-    def _start_platform(self):
+    def _start_platform_fakes(self):
         spec = {
-            'store': self._place(_STORE_PORT),
-            'vm_list': self._place(_LIST_PORT),
+            'store': self._make_endpoint(_STORE_PORT_OFFSET),
+            'vm_list': self._make_endpoint(_VM_LIST_PORT_OFFSET),
             'vms': [codec.to_map(vm) for vm in self.list_vms()],
         }
-        self._start_standin('platform', 'platform', spec)
+        self._start_fakes('platform', 'platform', spec)
         self._wait_ready(self.get_url('vm_list') + '/vms')
 
-    def _start_vm(self, number):
-        size = self.spec['vm']
+    def _start_vm_fakes(self, number):
+        vm_spec = self.spec['vm']
         capacity = {
-            name: size[name]
+            name: vm_spec[name]
             for name in ('cpu_milli', 'memory_mb', 'accelerators')
         }
         spec = {
-            'worker': self._place(_WORKER_PORTS + number),
-            'runner': self._place(_RUNNER_PORTS + number),
+            'worker': self._make_endpoint(_WORKER_PORT_OFFSET + number),
+            'runner': self._make_endpoint(_RUNNER_PORT_OFFSET + number),
             'capacity': capacity,
         }
-        self._start_standin(f'standin-{number:02d}', 'vm', spec)
+        self._start_fakes(f'standin-{number:02d}', 'vm', spec)
 
-    def _start_standin(self, name, kind, spec):
+    def _start_fakes(self, name, kind, spec):
         module = 'portwharf.testing.standins'
         argv = [sys.executable, '-m', module, kind, json.dumps(spec)]
         self._spawn(name, argv)
 
     def _start_side(self, number, vm):
-        size = self.spec['vm']
-        pages = self._base + _PAGES_PORTS + number
-        text = _SIDE_TEXT.format(
+        vm_spec = self.spec['vm']
+        pages_port = self._base_port + _PAGES_PORT_OFFSET + number
+        text = _SIDE_SETTINGS.format(
             vm=vm,
-            pages=pages,
-            store=_write_place(self._place(_STORE_PORT)),
-            vm_list=_write_place(self._place(_LIST_PORT)),
-            worker=_write_place(self._place(_WORKER_PORTS + number)),
-            runner=_write_place(self._place(_RUNNER_PORTS + number)),
+            pages_port=pages_port,
+            store=_format_endpoint(self._make_endpoint(_STORE_PORT_OFFSET)),
+            vm_list=_format_endpoint(
+                self._make_endpoint(_VM_LIST_PORT_OFFSET)
+            ),
+            worker=_format_endpoint(
+                self._make_endpoint(_WORKER_PORT_OFFSET + number)
+            ),
+            runner=_format_endpoint(
+                self._make_endpoint(_RUNNER_PORT_OFFSET + number)
+            ),
             shards=self._shards,
-            slots=size['slots'],
-            connections=size['connections'],
+            slots=vm_spec['slots'],
+            connections=vm_spec['connections'],
         )
         path = self.folder / f'{vm.name}.toml'
-        path.write_text(text + self.extra_side)
+        path.write_text(text + self.extra_side_settings)
         binary = os.path.join(os.path.dirname(sys.executable), '')
         self._spawn(vm.name, [f'{binary}portwharf-side', str(path)])
 
     def _start_entry(self, vm):
-        text = _ENTRY_TEXT.format(
+        text = _ENTRY_SETTINGS.format(
             vm=vm,
             shards=self._shards,
-            store=_write_place(self._place(_STORE_PORT)),
-            vm_list=_write_place(self._place(_LIST_PORT)),
+            store=_format_endpoint(self._make_endpoint(_STORE_PORT_OFFSET)),
+            vm_list=_format_endpoint(
+                self._make_endpoint(_VM_LIST_PORT_OFFSET)
+            ),
         )
         path = self.folder / f'{vm.name}.toml'
         path.write_text(text)
@@ -245,22 +270,24 @@
         deadline = time.monotonic() + _READY_SECONDS
         while time.monotonic() < deadline:
             with contextlib.suppress(urllib3.exceptions.HTTPError):
-                if self._http.request('GET', url).status == 200:
+                if self._pool.request('GET', url).status == 200:
                     return
             time.sleep(0.1)
-        raise RuntimeError(f'{url} did not become ready; see {self.folder}')
+        raise RuntimeError(
+            f'{url} was not ready in time; see the logs in {self.folder}'
+        )
 
 
-def _write_place(place):
-    return f'address = "{place["address"]}"\nport = {place["port"]}'
+def _format_endpoint(endpoint):
+    return f'address = "{endpoint["address"]}"\nport = {endpoint["port"]}'
 
 
-_SIDE_TEXT = """\
+_SIDE_SETTINGS = """\
 [vm]
 name = "{vm.name}"
 address = "{vm.address}"
 port = {vm.port}
-pages_port = {pages}
+pages_port = {pages_port}
 availability_zone = "{vm.availability_zone}"
 rack = "{vm.rack}"
 shard = {vm.shard}
@@ -289,7 +316,7 @@
 style = "text"
 """
 
-_ENTRY_TEXT = """\
+_ENTRY_SETTINGS = """\
 [entry]
 name = "{vm.name}"
 address = "{vm.address}"
--- a/packages/testing/portwharf/testing/platform_runner.py
+++ b/packages/testing/portwharf/testing/platform_runner.py
@@ -1,10 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A small stand-in of a runner of the users' platform, by its protocol.
+"""Fake of a runner of the users' platform, speaking its protocol.
 
-Runs under a lease, fencing tokens, ends that are listed until they are
-acknowledged, lives, and starts that are left unanswered. A new life may have
-the id of the one before it: then only the time of its start tells them apart.
+It runs tasks under a lease, checks fencing tokens, and lists ended runs until
+they are acknowledged. It can be restarted, under another instance id or the
+same: then only the start time tells the two lives apart. The answers to
+starts can be lost.
 """
 
 import itertools
@@ -17,44 +18,55 @@
 from portwharf.testing import platform_store
 from portwharf.testing import relay
 
-# When its first life began; each later one 1 ms after the one before.
+# Start time of the first life; each later one starts 1 ms after the last.
 FIRST_BORN_MS = 1_790_000_000_000
 
 
 def serve_runner(case):
-    """Return a stand-in whose connections break with its lives.
+    """Serve a fake runner; a restart breaks the connections to it.
 
-    :returns: the :class:`RunnerStandIn`, and the Endpoint that it is at
+    :returns: the :class:`RunnerStandIn` and its ``settings.Endpoint``
     """
     standin = RunnerStandIn()
     port = fixtures.serve(case, standin, threads=6)
-    way = case.enterContext(relay.Relay('127.0.0.1', 0, port))
-    standin.break_connections = way.cut
-    return standin, settings.Endpoint('127.0.0.1', way.port)
+    proxy = case.enterContext(relay.Relay('127.0.0.1', 0, port))
+    standin.break_connections = proxy.cut
+    return standin, settings.Endpoint('127.0.0.1', proxy.port)
 
 
 class RunnerStandIn:
-    """The WSGI application of one runner."""
+    """A runner, as a WSGI application.
+
+    :ivar break_connections: function that closes all connections to it
+    :ivar lose_answers: number of starts that take effect, then get a 500
+    :ivar unhealthy: number of calls that are answered with 503
+    :ivar orders: name and body of each order received
+    :ivar ticket: ticket that a start must carry, '' for none
+    :ivar instance: instance id of the current life
+    :ivar born_ms: start time of the current life, Unix milliseconds
+    :ivar running: map of task to run number
+    :ivar ended: rows of ended runs that are not acknowledged yet
+    :ivar fence: highest fencing token received
+    """
 
     def __init__(self, instance='i-1'):
         self._lock = threading.Condition()
-        self._births = itertools.count(FIRST_BORN_MS)
-        # What ends the connections to a life that is over.
+        self._start_times_ms = itertools.count(FIRST_BORN_MS)
         self.break_connections = lambda: None
         self.begin_life(instance)
-        # The next starts are carried out, and then answered with 500.
         self.lose_answers = 0
-        # The next calls are refused, as by a runner that is not well.
         self.unhealthy = 0
         self.orders = []
-        # What starts have to bring, '' for nothing.
         self.ticket = ''
 
     def begin_life(self, instance):
-        """Begin anew, as after a crash, under another id or the same."""
+        """Restart without any runs, as after a crash.
+
+        :param instance: new instance id, which may be the old one
+        """
         with self._lock:
             self.instance = instance
-            self.born_ms = next(self._births)
+            self.born_ms = next(self._start_times_ms)
             self.seq = 0
             self.running = {}
             self.ended = []
@@ -65,17 +77,17 @@
         self.break_connections()
 
     def end_run(self, task, how='done', saved=''):
-        """Have a run come to its end."""
+        """End a running task."""
         with self._lock:
             run = self.running.pop(task)
             self._note_end(task, run, how, saved)
 
     def read_ms(self):
-        """Return the runner's clock."""
+        """Return the runner's monotonic clock, in milliseconds."""
         return int(time.monotonic() * 1000)
 
     def make_beat(self, **fields):
-        """Return the next heartbeat, with some fields otherwise."""
+        """Return the next heartbeat; fields override its values."""
         self.seq += 1
         return {
             'service': 'pool',
@@ -91,22 +103,27 @@
     def __call__(self, environ, start_response):
         size = int(environ.get('CONTENT_LENGTH') or 0)
         body = json.loads(environ['wsgi.input'].read(size))
-        verb = environ['PATH_INFO'].removeprefix('/portwharf/')
-        meant = environ.get('HTTP_PORTWHARF_TARGET_INSTANCE', self.instance)
+        order = environ['PATH_INFO'].removeprefix('/portwharf/')
+        target_instance = environ.get(
+            'HTTP_PORTWHARF_TARGET_INSTANCE', self.instance
+        )
         with self._lock:
-            self.orders.append((verb, dict(body)))
-            status, value = self._obey(verb, body, meant)
+            self.orders.append((order, dict(body)))
+            status, value = self._obey(order, body, target_instance)
         value['clockMs'] = self.read_ms()
         return platform_store.answer(start_response, status, value)
 
-    def carry_out(self, verb, body):
-        """Carry out an order late; returns the status of its answer."""
+    def carry_out(self, order, body):
+        """Execute an order directly, as one that arrives late.
+
+        :returns: the status of its answer
+        """
         with self._lock:
-            status, _ = self._obey(verb, body, self.instance)
+            status, _ = self._obey(order, body, self.instance)
         return status
 
-    def _obey(self, verb, body, meant):
-        if meant != self.instance:
+    def _obey(self, order, body, target_instance):
+        if target_instance != self.instance:
             return 421, {}
         if self.unhealthy:
             self.unhealthy -= 1
@@ -121,7 +138,7 @@
             'hold': self._hold,
             'pace': self._pace,
         }
-        return calls[verb](body)
+        return calls[order](body)
 
     def _start(self, body):
         task, run = body['task'], body['run']
--- a/packages/testing/portwharf/testing/relay.py
+++ b/packages/testing/portwharf/testing/relay.py
@@ -1,11 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Relays between our processes, so that their connections can be cut.
+"""TCP proxy that injects network faults between processes.
 
-One for each side: the VM list names the relay's port. A cut relay breaks
-its connections and takes no new ones; a silent one keeps them open and
-passes nothing on, as a network does that loses everything. Connections may
-also go silent for good while new ones work.
+It can close its connections, refuse new ones, delay data, hold data back in
+either direction as a network that drops every packet, or stop forwarding on
+the existing connections for good while new ones work.
 """
 
 import socket
@@ -16,125 +15,140 @@
 
 
 class Relay:
-    """Passes connections on to one port; a context manager."""
+    """Forwards connections to one target port; a context manager.
+
+    :ivar refusing: whether new connections are closed at once
+    :ivar delay: seconds that each received chunk is delayed by
+    """
 
     def __init__(self, address, port, target, target_address=''):
-        """Listen on a port and pass on to the port ``target``.
+        """Listen on a port; forwarding starts on entering the context.
 
-        :param target_address: where that is; the same address if it is ''
+        :param port: 0 for a free port
+        :param target: port that connections are forwarded to
+        :param target_address: the target's address, '' for ``address``
         """
-        self._address = target_address or address
-        self._target = target
+        self._target_address = target_address or address
+        self._target_port = target
         self._listener = socket.create_server((address, port), backlog=64)
-        self._socks = set()
+        self._open_sockets = set()
         self._lock = threading.Lock()
-        # Whether bytes pass, towards the target and back.
-        self._onward = threading.Event()
-        self._back = threading.Event()
+        # Set while data is forwarded, per direction.
+        self._to_target = threading.Event()
+        self._from_target = threading.Event()
         self.silence(False)
-        # Set once the connections that were made until then are hushed.
-        self._hushed = threading.Event()
-        self._over = threading.Event()
+        # Shared by the connections accepted since the last hush().
+        self._hush_requested = threading.Event()
+        self._stopped = threading.Event()
         self.refusing = False
-        # Seconds that each piece is held up.
         self.delay = 0.0
 
     @property
     def port(self):
-        """The port that it listens on."""
+        """The port that the relay listens on."""
         return self._listener.getsockname()[1]
 
     def __enter__(self):
-        threading.Thread(target=self._accept, daemon=True).start()
+        threading.Thread(target=self._accept_connections, daemon=True).start()
         return self
 
     def __exit__(self, *exc_info):
-        # Closing alone leaves it open for the thread that accepts.
-        _shut(self._listener)
-        self._over.set()
+        # Closing a socket does not wake a thread blocked in accept().
+        _close_socket(self._listener)
+        self._stopped.set()
         self.silence(False)
         self.cut()
 
     def cut(self):
-        """Break all connections."""
+        """Close all connections."""
         with self._lock:
-            socks = list(self._socks)
-            self._socks.clear()
+            socks = list(self._open_sockets)
+            self._open_sockets.clear()
         for sock in socks:
-            _shut(sock)
+            _close_socket(sock)
 
     def hush(self):
-        """Have all open connections go silent for good, without a reset."""
-        self._hushed.set()
-        self._hushed = threading.Event()
+        """Stop forwarding on open connections for good, without closing."""
+        self._hush_requested.set()
+        self._hush_requested = threading.Event()
 
     def silence(self, silent):
-        """Pass nothing on, or pass on again what was held up."""
+        """Hold back all data, or release it, in both directions."""
         self.silence_ways(silent, silent)
 
     def silence_ways(self, onward, back):
-        """Pass nothing on, in one direction or the other."""
-        for way, silent in ((self._onward, onward), (self._back, back)):
+        """Hold back or release data in each direction.
+
+        :param onward: whether data to the target is held back
+        :param back: whether data from the target is held back
+        """
+        for flow_enabled, silent in (
+            (self._to_target, onward),
+            (self._from_target, back),
+        ):
             if silent:
-                way.clear()
+                flow_enabled.clear()
             else:
-                way.set()
+                flow_enabled.set()
 
-    def _accept(self):
+    def _accept_connections(self):
         while True:
             try:
-                near, _ = self._listener.accept()
+                client_sock, _ = self._listener.accept()
             except OSError:
                 return
             if self.refusing:
-                near.close()
+                client_sock.close()
                 continue
             try:
-                far = socket.create_connection(
-                    (self._address, self._target), 2
+                target_sock = socket.create_connection(
+                    (self._target_address, self._target_port), 2
                 )
             except OSError:
-                near.close()
+                client_sock.close()
                 continue
-            far.settimeout(None)
-            self._join(near, far)
+            target_sock.settimeout(None)
+            self._forward_both_ways(client_sock, target_sock)
 
-    def _join(self, near, far):
+    def _forward_both_ways(self, client_sock, target_sock):
         with self._lock:
-            self._socks |= {near, far}
-        hushed = self._hushed
-        rows = ((near, far, self._onward), (far, near, self._back))
-        for one, other, way in rows:
-            one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._open_sockets |= {client_sock, target_sock}
+        hush_requested = self._hush_requested
+        directions = (
+            (client_sock, target_sock, self._to_target),
+            (target_sock, client_sock, self._from_target),
+        )
+        for source, sink, flow_enabled in directions:
+            source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             threading.Thread(
-                target=self._pass_on,
-                args=(one, other, way, hushed),
+                target=self._forward,
+                args=(source, sink, flow_enabled, hush_requested),
                 daemon=True,
             ).start()
 
-    def _pass_on(self, one, other, way, hushed):
+    def _forward(self, source, sink, flow_enabled, hush_requested):
         try:
-            while raw := one.recv(_READ_BYTES):
-                way.wait()
+            while chunk := source.recv(_READ_BYTES):
+                flow_enabled.wait()
                 if self.delay:
                     time.sleep(self.delay)
-                if hushed.is_set():
-                    # Nothing is read any more, so that buffers fill up.
-                    self._over.wait()
+                if hush_requested.is_set():
+                    # Stops reading, so that the sender's buffers fill up.
+                    self._stopped.wait()
                     break
-                other.sendall(raw)
+                sink.sendall(chunk)
         except OSError:
             pass
-        if hushed.is_set():
-            # The other end does not hear of an end either.
-            self._over.wait()
-        _shut(one)
-        _shut(other)
+        if hush_requested.is_set():
+            # Keeps the peer's connection open although this one closed.
+            self._stopped.wait()
+        _close_socket(source)
+        _close_socket(sink)
         with self._lock:
-            self._socks -= {one, other}
+            self._open_sockets -= {source, sink}
 
 
-def _shut(sock):
+def _close_socket(sock):
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
--- a/packages/testing/portwharf/testing/relay_test.py
+++ b/packages/testing/portwharf/testing/relay_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A relay that tests put between processes harms what it is told to."""
+"""Tests of the faults that a relay injects."""
 
 import socket
 
@@ -8,34 +8,37 @@
 
 
 def open_relay(case):
-    """Return a relay, a function that connects to it, and the far end."""
+    """Return a relay and a function that opens a connection through it.
+
+    The function returns the sockets of both ends.
+    """
     server = socket.create_server(('127.0.0.1', 0))
     case.addCleanup(server.close)
-    made = relay.Relay('127.0.0.1', 0, server.getsockname()[1])
-    case.enterContext(made)
+    proxy = relay.Relay('127.0.0.1', 0, server.getsockname()[1])
+    case.enterContext(proxy)
 
     def connect():
-        near = socket.create_connection(('127.0.0.1', made.port))
-        far, _ = server.accept()
-        for sock in (near, far):
+        client = socket.create_connection(('127.0.0.1', proxy.port))
+        server_end, _ = server.accept()
+        for sock in (client, server_end):
             sock.settimeout(10)
             case.addCleanup(sock.close)
-        return near, far
+        return client, server_end
 
-    return made, connect
+    return proxy, connect
 
 
 def test_hushed_connections_stay_silent_while_new_ones_work(case):
-    made, connect = open_relay(case)
-    near, far = connect()
-    near.sendall(b'before')
-    case.assertEqual(far.recv(10), b'before')
-    made.hush()
-    near.sendall(b'after')
-    near.close()
-    other_near, other_far = connect()
-    other_near.sendall(b'new')
-    case.assertEqual(other_far.recv(10), b'new')
-    far.setblocking(False)
+    proxy, connect = open_relay(case)
+    client, server_end = connect()
+    client.sendall(b'before')
+    case.assertEqual(server_end.recv(10), b'before')
+    proxy.hush()
+    client.sendall(b'after')
+    client.close()
+    new_client, new_server_end = connect()
+    new_client.sendall(b'new')
+    case.assertEqual(new_server_end.recv(10), b'new')
+    server_end.setblocking(False)
     with case.assertRaises(BlockingIOError):
-        far.recv(10)
+        server_end.recv(10)
--- a/packages/testing/portwharf/testing/runner.py
+++ b/packages/testing/portwharf/testing/runner.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A stand-in for an endpoint (runner): slots, connections and a record."""
+"""Fake of an endpoint (runner) that counts the requests it runs."""
 
 import collections
 import threading
@@ -15,14 +15,16 @@
 class RunnerStandIn:
     """A runner, as a WSGI application.
 
-    :ivar ran: how often each request id was begun
-    :ivar delay: seconds that each request takes longer
+    It answers 503 while all its slots are taken.
+
+    :ivar ran: number of times that each request id was started
+    :ivar delay: seconds added to each request
     """
 
     def __init__(self, slots=8):
         self.ran = collections.Counter()
         self.delay = 0.0
-        self._free = threading.Semaphore(slots)
+        self._free_slots = threading.Semaphore(slots)
 
     def __call__(self, environ, start_response):
         path = environ['PATH_INFO']
@@ -32,16 +34,16 @@
             self.delay = float(web.read_json(environ).get('delay', 0.0))
             return web.answer_json(start_response, 200, {})
         payload = web.read_body(environ)
-        if not self._free.acquire(blocking=False):
+        if not self._free_slots.acquire(blocking=False):
             return web.answer_json(start_response, 503, {})
         try:
             return self._run(environ, start_response, path, payload)
         finally:
-            self._free.release()
+            self._free_slots.release()
 
     def _run(self, environ, start_response, path, payload):
-        request = environ.get('HTTP_X_REQUEST_ID', '')
-        self.ran[request] += 1
+        request_id = environ.get('HTTP_X_REQUEST_ID', '')
+        self.ran[request_id] += 1
         if self.delay:
             time.sleep(self.delay)
         service = path.removeprefix('/run/')
@@ -51,6 +53,6 @@
         except (ValueError, KeyError) as exc:
             raw = str(exc).encode()
             status = '422 Unprocessable Entity'
-        headers = [('Content-Length', str(len(raw))), (ID_HEADER, request)]
+        headers = [('Content-Length', str(len(raw))), (ID_HEADER, request_id)]
         start_response(status, headers)
         return [raw]
--- a/packages/testing/portwharf/testing/standins.py
+++ b/packages/testing/portwharf/testing/standins.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Run stand-ins as processes of their own, for ``make run`` and faults.
+"""Runs the fake services in a process, for ``make run`` and ``make faults``.
 
-``platform`` is the key-value service and the VM list; ``vm`` is a worker
-and a runner, as they stand on one endpoint VM.
+``platform`` serves the key-value store and the VM list; ``vm`` serves the
+worker and the runner of one endpoint VM.
 """
 
 import contextlib
@@ -26,42 +26,50 @@
 
 
 def run_platform(spec):
-    """Serve the store and the VM list."""
-    listed = [codec.from_map(data.Vm, row) for row in spec['vms']]
+    """Serve the store and the VM list until a signal stops the process."""
+    initial_vms = [codec.from_map(data.Vm, row) for row in spec['vms']]
     with contextlib.ExitStack() as stack:
         store = kv.StoreStandIn()
-        _serve(stack, spec['store'], store, _STORE_THREADS)
+        _start_server(stack, spec['store'], store, _STORE_THREADS)
         stack.callback(store.close)
-        _serve(
-            stack, spec['vm_list'], vms.VmListStandIn(listed), _LIST_THREADS
+        _start_server(
+            stack,
+            spec['vm_list'],
+            vms.VmListStandIn(initial_vms),
+            _LIST_THREADS,
         )
         _wait_for_stop()
 
 
 def run_vm(spec):
-    """Serve a worker and a runner."""
+    """Serve a worker and a runner until a signal stops the process."""
     capacity = data.Resources(**spec['capacity'])
     with contextlib.ExitStack() as stack:
-        _serve(stack, spec['worker'], worker.WorkerStandIn(capacity), 4)
-        _serve(stack, spec['runner'], runner.RunnerStandIn(), _RUNNER_THREADS)
+        _start_server(stack, spec['worker'], worker.WorkerStandIn(capacity), 4)
+        _start_server(
+            stack, spec['runner'], runner.RunnerStandIn(), _RUNNER_THREADS
+        )
         _wait_for_stop()
 
 
-def _serve(stack, place, app, threads):
-    server = web.Server(place['address'], place['port'], app, threads)
+def _start_server(stack, endpoint, app, threads):
+    server = web.Server(endpoint['address'], endpoint['port'], app, threads)
     stack.enter_context(server)
 
 
 def _wait_for_stop():
-    stopped = threading.Event()
+    stop_requested = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stopped.set())
+        signal.signal(number, lambda *_: stop_requested.set())
     print('ready', flush=True)
-    stopped.wait()
+    stop_requested.wait()
 
 
 def main():
-    """Run the stand-in that the first argument names, by a JSON spec."""
+    """Run the kind that the first argument names; the second is its spec.
+
+    The kind is ``platform`` or ``vm``, the spec a JSON object.
+    """
     spec = json.loads(sys.argv[2])
     if sys.argv[1] == 'platform':
         run_platform(spec)
--- a/packages/testing/portwharf/testing/suite.py
+++ b/packages/testing/portwharf/testing/suite.py
@@ -5,8 +5,8 @@
 Tests are functions named ``test_...`` that take a ``unittest.TestCase``,
 for its assertions and for fixtures by ``enterContext``. Arguments name the
 modules to run, as in ``shardlog``; without any, all run. The last line
-counts what passed and failed; tests whose failure is known are named, and
-counted as skipped.
+counts the tests that passed, failed and were skipped. Known failures are
+printed and count as skipped.
 """
 
 import importlib
@@ -16,15 +16,15 @@
 import sys
 import unittest
 
-from portwharf.testing import knownred
+from portwharf.testing import known_failures
 
-# packages/<name>/portwharf/<name>/<room>/.../<module>_test.py
+# Holds <name>/portwharf/<name>/<package>/.../<module>_test.py.
 _PACKAGES = pathlib.Path(__file__).parents[3]
 _PATTERN = '*/portwharf/*/**/*_test.py'
 
 
 def load_tests(names=()):
-    """Return a suite of the tests in the named modules, or in all."""
+    """Return a suite of the tests of the named modules, or of all."""
     suite = unittest.TestSuite()
     for path in find_modules():
         if names and path.stem.removesuffix('_test') not in names:
@@ -34,7 +34,7 @@
 
 
 def find_modules():
-    """Return the paths of all test modules, in order."""
+    """Return the paths of all test modules, sorted."""
     return sorted(_PACKAGES.glob(_PATTERN))
 
 
@@ -47,46 +47,52 @@
 def collect_tests(module):
     """Return a test case for each test function of a module."""
     return [
-        _make_case(module, name, function)
+        _wrap_function(module, name, function)
         for name, function in inspect.getmembers(module, inspect.isfunction)
         if name.startswith('test_')
     ]
 
 
-def _make_case(module, name, function):
-    """Wrap a function as a test case of the library's."""
+def _wrap_function(module, name, function):
+    """Return a ``unittest.TestCase`` that calls a test function."""
 
     def run(self):
         function(self)
 
-    body = {name: run, '__doc__': None, '__module__': module.__name__}
-    cls = type(module.__name__.rpartition('.')[2], (unittest.TestCase,), body)
+    attributes = {name: run, '__doc__': None, '__module__': module.__name__}
+    cls = type(
+        module.__name__.rpartition('.')[2], (unittest.TestCase,), attributes
+    )
     return cls(name)
 
 
 def list_names(tests):
-    """Return the names of some test cases, as ``module.test``."""
-    return {f'{type(one).__name__}.{one._testMethodName}' for one in tests}
+    """Return the names of test cases, as ``module.test``."""
+    return {f'{type(test).__name__}.{test._testMethodName}' for test in tests}
 
 
 def main():
-    """Run the tests; exit code 0 only if all passed or are known."""
-    # Faults are brought about on purpose; what is logged of them is noise.
+    """Run the tests; returns 0 if all passed, but for known failures."""
+    # Hides the logs of faults that tests inject.
     logging.getLogger().addHandler(logging.NullHandler())
     suite = load_tests(sys.argv[1:])
     ran = list_names(suite)
     outcome = unittest.TextTestRunner(verbosity=1).run(suite)
-    bad = [one for one, _ in outcome.failures + outcome.errors]
-    red, stale = knownred.judge(knownred.read_list(), list_names(bad), ran)
-    for one in red:
-        print(f'known red: {one.test}: {one.cause} ({one.issue})')
-    for one in stale:
-        print(f'FAILED: {one.test} passes; take it off {knownred.PATH.name}')
-    failed = len(bad) - len(red) + len(stale)
-    skipped = len(outcome.skipped) + len(red)
+    failing = [test for test, _ in outcome.failures + outcome.errors]
+    known, stale = known_failures.match_failures(
+        known_failures.read_list(), list_names(failing), ran
+    )
+    for entry in known:
+        print(f'known red: {entry.test}: {entry.cause} ({entry.issue})')
+    for entry in stale:
+        print(
+            f'FAILED: {entry.test} passes; take it off {known_failures.PATH.name}'
+        )
+    failed = len(failing) - len(known) + len(stale)
+    skipped = len(outcome.skipped) + len(known)
     passed = outcome.testsRun - failed - skipped
-    more = f', {skipped} skipped' if skipped else ''
-    print(f'{passed} passed, {failed} failed{more}', flush=True)
+    skipped_text = f', {skipped} skipped' if skipped else ''
+    print(f'{passed} passed, {failed} failed{skipped_text}', flush=True)
     return 0 if passed and not failed else 1
 
 
--- a/packages/testing/portwharf/testing/vms.py
+++ b/packages/testing/portwharf/testing/vms.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A stand-in for the platform's list of VMs."""
+"""Fake of the platform's VM list service."""
 
 from portwharf.core import codec
 from portwharf.core import data
@@ -8,9 +8,10 @@
 
 
 class VmListStandIn:
-    """The VM list, as a WSGI application.
+    """The VM list service, as a WSGI application.
 
-    :ivar vms: map of name to data.Vm
+    :ivar vms: map of VM name to ``data.Vm``; ``/control`` adds or replaces
+    :ivar down: whether the list is answered with 503
     """
 
     def __init__(self, vms=()):
--- a/packages/testing/portwharf/testing/worker.py
+++ b/packages/testing/portwharf/testing/worker.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A stand-in for a worker: tasks as threads that compute, under leases.
+"""Fake worker that runs each task in a thread, under a lease.
 
-It keeps its own record of what ran from when to when, on the machine's
-monotonic clock, which the tests judge by. Usage is reported with a lag.
+It records when each attempt started and ended, on the machine's monotonic
+clock, so that tests can check it. Usage is reported with a lag.
 """
 
 import base64
@@ -18,14 +18,18 @@
 from portwharf import workers
 
 USAGE_LAG_SECONDS = 2.0
-# A step of a task computes this long before it looks up.
+# Default duration of a step of a task; a task checks for a stop each step.
 _STEP_SECONDS = 0.01
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
 class Span:
-    """That an attempt ran, and when; ``end`` is 0 while it runs."""
+    """When an attempt ran, in seconds of the monotonic clock.
+
+    :param end: 0 while it runs
+    :param lease: whether it ran under a lease
+    """
 
     task: str = ''
     attempt: int = 0
@@ -38,7 +42,11 @@
 
 
 class _Run:
-    """One attempt that runs, or has run."""
+    """An attempt and its thread.
+
+    :ivar percent: share of full speed that it is throttled to
+    :ivar stop: None, or ``stop`` or ``checkpoint`` once it has to end
+    """
 
     def __init__(self, start, worker):
         self.start = start
@@ -76,39 +84,47 @@
         self.attempt.state = state
 
     def _compute(self):
-        """Do the task's steps; the argument is "steps seconds-a-step"."""
+        """Run the task's steps until the last one, or until it has to stop.
+
+        The task's argument is ``STEPS SECONDS_PER_STEP``.
+
+        :returns: the ``data.RunState`` that it ends in, and the reason
+        :raises ValueError: the program fails
+        """
         if self.start.program == 'fail':
             raise ValueError('the program failed, as it always does')
-        forever = self.start.kind != data.Kind.BATCH
-        words = self.start.argument.decode().split()
-        steps = int(words[0]) if words else 1
-        pause = float(words[1]) if len(words) > 1 else _STEP_SECONDS
-        number, state = self._resume()
-        while forever or number < steps:
-            if self._is_over():
-                return self._leave(number, state)
-            if not forever:
+        runs_forever = self.start.kind != data.Kind.BATCH
+        arguments = self.start.argument.decode().split()
+        steps = int(arguments[0]) if arguments else 1
+        step_seconds = (
+            float(arguments[1]) if len(arguments) > 1 else _STEP_SECONDS
+        )
+        number, state = self._load_state()
+        while runs_forever or number < steps:
+            if self._should_stop():
+                return self._stop_early(number, state)
+            if not runs_forever:
                 state = programs.make_step(state, number)
                 number += 1
-            self.worker.stopping.wait(pause * 100 / self.percent)
+            self.worker.stopping.wait(step_seconds * 100 / self.percent)
         self.attempt.result = str(state).encode()
         return data.RunState.SUCCEEDED, ''
 
-    def _resume(self):
-        """Return step and state to begin with."""
+    def _load_state(self):
+        """Return the step and the state to start from."""
         if self.start.checkpoint:
             number, state = self.start.checkpoint.split(':')
             return int(number), int(state)
         seed = int(self.start.task.rpartition('.')[2] or 0)
         return 0, seed
 
-    def _is_over(self):
+    def _should_stop(self):
         until = self.attempt.lease_until_ms
-        lapsed = until and time.monotonic() * _MS >= until
-        return lapsed or self.stop is not None or self.worker.ended
+        lapsed = until and time.monotonic() * _MS_PER_SECOND >= until
+        return lapsed or self.stop is not None or self.worker.closed
 
-    def _leave(self, number, state):
-        """End before the last step, with or without a checkpoint."""
+    def _stop_early(self, number, state):
+        """Return the outcome of a task that ends before its last step."""
         if self.stop == 'checkpoint':
             self.attempt.checkpoint = f'{number}:{state}'
             return data.RunState.CHECKPOINTED, 'stopped'
@@ -116,13 +132,21 @@
 
 
 class WorkerStandIn:
-    """A worker, as a WSGI application."""
+    """A worker, as a WSGI application.
+
+    :ivar spans: the :class:`Span` of each attempt, by start
+    :ivar closed: whether the worker is shut down and its tasks end
+    :ivar fail_starts: whether every start is refused
+    """
 
     def __init__(self, capacity):
-        """Take the Resources that it can hold."""
+        """Create a worker without tasks.
+
+        :param capacity: ``data.Resources`` that it reports
+        """
         self.capacity = capacity
         self.spans = []
-        self.ended = False
+        self.closed = False
         self.fail_starts = False
         self.stopping = threading.Event()
         self._runs = {}
@@ -151,27 +175,29 @@
         return web.answer_json(start_response, status, answer)
 
     def close(self):
-        """End all tasks, as a VM's failure would."""
-        self.ended = True
+        """End all tasks without checkpoints, as a VM failure does."""
+        self.closed = True
         self.stopping.set()
 
     def _list(self):
         with self._lock:
             runs = list(self._runs.values())
-        listing = workers.Listing(int(time.monotonic() * _MS), self.capacity)
+        listing = workers.Listing(
+            int(time.monotonic() * _MS_PER_SECOND), self.capacity
+        )
         listing.attempts = [run.attempt for run in runs]
         value = codec.to_map(listing)
         for row, run in zip(value.get('attempts', []), runs, strict=True):
-            raw = row.get('result', b'')
-            row['result'] = base64.b64encode(raw).decode()
-            row['used_cpu_milli'] = self._measure(run)
-            row['measured_ms'] = int(USAGE_LAG_SECONDS * _MS)
+            task_result = row.get('result', b'')
+            row['result'] = base64.b64encode(task_result).decode()
+            row['used_cpu_milli'] = self._measure_cpu_milli(run)
+            row['measured_ms'] = int(USAGE_LAG_SECONDS * _MS_PER_SECOND)
         return value
 
-    def _measure(self, run):
-        """Return the processors used a while ago, in thousandths."""
-        then = time.monotonic() - USAGE_LAG_SECONDS
-        if run.span.start > then:
+    def _measure_cpu_milli(self, run):
+        """Return the CPU use at the time of the last measurement."""
+        measured_at = time.monotonic() - USAGE_LAG_SECONDS
+        if run.span.start > measured_at:
             return 0
         return run.start.resources.cpu_milli * run.percent // 100
 
@@ -179,7 +205,7 @@
         body['argument'] = base64.b64decode(body.get('argument', ''))
         start = codec.from_map(workers.Start, body)
         until = start.lease_until_ms
-        if until and time.monotonic() * _MS >= until:
+        if until and time.monotonic() * _MS_PER_SECOND >= until:
             return {'refused': 'lease-is-past'}
         if self.fail_starts:
             return {'refused': 'worker-fails-everything'}
@@ -192,24 +218,24 @@
         run.thread.start()
         return {}
 
-    def _find(self, body):
+    def _find_run(self, body):
         return self._runs.get((body['task'], body['attempt']))
 
     def _stop(self, body):
-        run = self._find(body)
+        run = self._find_run(body)
         if run is not None and run.stop is None:
             run.stop = 'checkpoint' if body.get('checkpoint') else 'stop'
         return {}
 
     def _throttle(self, body):
-        run = self._find(body)
+        run = self._find_run(body)
         if run is not None:
             run.percent = max(1, min(100, body['percent']))
         return {}
 
     def _forget(self, body):
         with self._lock:
-            run = self._find(body)
+            run = self._find_run(body)
             if run is not None and run.span.end:
                 del self._runs[(body['task'], body['attempt'])]
         return {}
@@ -224,7 +250,7 @@
         return {}
 
     def _control(self, body):
-        """Refuse all starts from now on, or fail like a VM."""
+        """Set whether starts are refused; with ``fail``, lose all tasks."""
         self.fail_starts = bool(body.get('fail_starts', False))
         if body.get('fail'):
             with self._lock:
