--- a/packages/testing/portwharf/testing/cluster.py
+++ b/packages/testing/portwharf/testing/cluster.py
@@ -120,7 +120,10 @@
         )
 
     def step(self):
-        """Let the side and the owner do what is due; no-op while paused."""
+        """Let the side and the owner do what is due.
+
+        Does nothing while the node is paused or down.
+        """
         if self.paused or self.down:
             return
         self.learn()
@@ -211,7 +214,7 @@
                 self.check()
 
     def connect_all(self):
-        """Connect every owner to every side that it can reach."""
+        """Connect every running owner to every side that it can reach."""
         for node in self.nodes:
             if node.owner is None or node.paused or node.down:
                 continue
@@ -307,7 +310,10 @@
         node.pool.cut = store
 
     def heal(self):
-        """Remove all faults of network, nodes, workers and store."""
+        """Remove the faults of the network, nodes, VM list and store.
+
+        Workers answer again, but keep their capacity and their crashers.
+        """
         self.cuts.clear()
         self.standin.faults = kv.Faults()
         self.listing.set_leaving(set())
@@ -380,7 +386,7 @@
         owners = self.list_owners()
         if not owners:
             return None
-        node = max(owners, key=lambda one: one.owner.epoch)
+        node = max(owners, key=lambda candidate: candidate.owner.epoch)
         operator_call = batches.Called(
             cluster_fakes.FakeFuture(), method, arguments
         )
@@ -425,9 +431,9 @@
         cluster_checks.check_zones(self)
 
     def settle(self, seconds=150.0):
-        """Heal all faults and run until all work has ended.
+        """Heal the cluster, then run it until all work has ended.
 
-        :raises cluster_fakes.Violation: work is left after some seconds
+        :raises cluster_fakes.Violation: work is left after these seconds
         """
         self.heal()
         remaining_seconds = seconds
--- a/packages/testing/portwharf/testing/cluster_checks.py
+++ b/packages/testing/portwharf/testing/cluster_checks.py
@@ -13,7 +13,7 @@
 
 # Failures after which a task of a walk's job is not retried.
 MAX_FAILURES = 3
-# Time after closing a zone in which tasks may still start there.
+# Time after closing a zone for which tasks may still start there.
 ZONE_CLOSE_SECONDS = 5.0
 
 
@@ -50,10 +50,10 @@
         for node in nodes
         for run in node.worker.record
     ]
-    places = collections.defaultdict(set)
+    vms_by_attempt = collections.defaultdict(set)
     for name, task, attempt in attempts:
-        places[(task, attempt)].add(name)
-    for (task, attempt), names in places.items():
+        vms_by_attempt[(task, attempt)].add(name)
+    for (task, attempt), names in vms_by_attempt.items():
         if len(names) > 1:
             raise cluster_fakes.Violation(
                 f'attempt {attempt} of {task} ran on {names}'
@@ -61,7 +61,7 @@
 
 
 def check_zones(cluster):
-    """Check that no task starts in a zone closed before the allowed time."""
+    """Check that no task starts in a zone long after it was closed."""
     for zone, since in cluster.closed.items():
         for node in cluster.nodes:
             if node.vm.availability_zone != zone:
@@ -101,14 +101,14 @@
 
 def check_step_order(nodes):
     """Check that a job's step starts only after the one before succeeded."""
-    by_task = _group_by_task(nodes)
-    for task, runs in by_task.items():
+    runs_by_task = _group_by_task(nodes)
+    for task, runs in runs_by_task.items():
         parts = task.split('.')
         if not is_job_task(task) or parts[2] == '0':
             continue
         previous_step = f'{parts[0]}.{parts[1]}.{int(parts[2]) - 1}.'
         first_start = min(run.order for run in runs)
-        for other, other_runs in by_task.items():
+        for other, other_runs in runs_by_task.items():
             if other.startswith(previous_step) and not _succeeded_before(
                 other_runs, first_start
             ):
@@ -148,7 +148,10 @@
 
 
 def _succeeded_before(runs, order):
-    """Return whether a task succeeded before an order number."""
+    """Return whether one of a task's runs succeeded before an order number.
+
+    :param order: sequence number, as in ``cluster_fakes.Run.order``
+    """
     return any(
         run.attempt.state == data.RunState.SUCCEEDED and run.end_order < order
         for run in runs
--- a/packages/testing/portwharf/testing/cluster_fakes.py
+++ b/packages/testing/portwharf/testing/cluster_fakes.py
@@ -108,17 +108,19 @@
     :ivar runs: the :class:`Run` of each attempt that is listed
     :ivar record: the :class:`Run` of every attempt that ever started
     :ivar broken: whether every start is refused
-    :ivar silent: whether no call is answered or takes effect
+    :ivar silent: whether listings, starts, stops and renewals get no answer
+        and have no effect
     :ivar tails: reported ``tail_ms`` of serving tasks, by task
     :ivar paces: percent that attempts are throttled to, by (task, attempt)
+    :ivar labels: reported labels
     :ivar crashers: tasks whose start crashes the worker
     :ivar answers_crashers: whether such a start is answered before that
     :ivar lost_answers: number of starts that take effect unanswered
     :ivar capacity: reported capacity; a start beyond it is a violation
     """
 
-    def __init__(self, now):
-        self.clock = now
+    def __init__(self, worker_clock):
+        self.clock = worker_clock
         self.runs = []
         self.record = []
         self.broken = False
--- a/packages/testing/portwharf/testing/faults.py
+++ b/packages/testing/portwharf/testing/faults.py
@@ -46,7 +46,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SentRequest:
-    """A request and the outcome of each time that it was sent."""
+    """A request and the outcome of each time that it was sent.
+
+    :param outcomes: ``callers_pb.Outcome`` of each sending
+    :param wrong: whether an answer differed from the expected one
+    :param seconds: latency of the first sending
+    """
 
     id: str = ''
     repeatable: bool = False
@@ -120,12 +125,14 @@
         self._stop = threading.Event()
         self._lock = threading.Lock()
         self._sent = []
+        # Steps of a task, by the id of each accepted batch job.
         self._accepted = {}
         self._cancelled = set()
         self._submission_count = 0
         self._owner_losses = []
         self._store_down = False
-        self._heals = []
+        # Due time and function of each heal to come.
+        self._pending_heals = []
         self._began = time.monotonic()
         self.problems = []
 
@@ -283,19 +290,21 @@
         return self._deployment.fetch(url, faults)
 
     def _heal_later(self, seconds, heal):
-        self._heals.append((time.monotonic() + seconds, heal))
+        self._pending_heals.append((time.monotonic() + seconds, heal))
 
     def _heal_due(self):
         now = time.monotonic()
-        due = [heal for when, heal in self._heals if when <= now]
-        self._heals = [row for row in self._heals if row[0] > now]
+        due = [heal for when, heal in self._pending_heals if when <= now]
+        self._pending_heals = [
+            row for row in self._pending_heals if row[0] > now
+        ]
         for heal in due:
             heal()
 
     def _heal_all(self):
-        for _, heal in self._heals:
+        for _, heal in self._pending_heals:
             heal()
-        self._heals = []
+        self._pending_heals = []
         self._set_store_faults(lose_answers=0, lose_requests=0)
 
     # Load.
@@ -410,9 +419,9 @@
             if listed is None:
                 return False
             return all(
-                one.waiting == 0 and one.running == 0
-                for one in listed
-                if one.workload.kind == pb.Kind.BATCH
+                workload_status.waiting == 0 and workload_status.running == 0
+                for workload_status in listed
+                if workload_status.workload.kind == pb.Kind.BATCH
             )
 
         self._wait_for('all work comes to its end', is_done, _SETTLE_SECONDS)
@@ -426,15 +435,15 @@
 
     def _check_jobs(self):
         """Check that no accepted job is lost and that all results match."""
-        listed = {one.id: one for one in self._list_workloads() or []}
+        listed = {row.id: row for row in self._list_workloads() or []}
         for job, steps in self._accepted.items():
             if job not in listed:
                 self.problems.append(f'accepted job {job} is lost')
                 continue
-            one = listed[job]
-            is_complete = one.succeeded == one.workload.count
+            row = listed[job]
+            is_complete = row.succeeded == row.workload.count
             if not is_complete and job not in self._cancelled:
-                self.problems.append(f'job {job}: {one}')
+                self.problems.append(f'job {job}: {row}')
             req = pb.ListTasksRequest(workload_id=job)
             tasks = self._client.call(
                 _OPERATOR_SERVICE, 'ListTasks', req, pb.ListTasksResponse
@@ -471,7 +480,9 @@
             rows.sort()
             for one, other in zip(rows, rows[1:], strict=False):
                 if other[0] < one[1]:
-                    self.problems.append(f'{task} twice: {one} {other}')
+                    self.problems.append(
+                        f'{task} ran twice at once: {one} {other}'
+                    )
 
     def _check_capacity(self, spans):
         """Check that no worker ever ran more than its CPU capacity."""
@@ -487,7 +498,9 @@
             for _, cpu_milli in sorted(changes):
                 held += cpu_milli
                 if held > capacity:
-                    self.problems.append(f'{name} held {held}')
+                    self.problems.append(
+                        f'{name} ran {held} cpu_milli at once'
+                    )
                     break
 
     def _check_requests(self):
@@ -504,7 +517,9 @@
             if not sent.repeatable and count > 1:
                 self.problems.append(f'request {sent.id}: ran {count} times')
             if last == callers_pb.Outcome.NOT_RUN and count:
-                self.problems.append(f'request {sent.id}: "not run" ran')
+                self.problems.append(
+                    f'request {sent.id}: ran, but outcome is not run'
+                )
             if last == callers_pb.Outcome.ANSWERED and not count:
                 self.problems.append(f'request {sent.id}: never ran')
 
@@ -525,7 +540,7 @@
         )
         recoveries = self._measure_recoveries()
         if recoveries:
-            shown = ', '.join(f'{one:.1f}' for one in recoveries)
+            shown = ', '.join(f'{recovery:.1f}' for recovery in recoveries)
             median = statistics.median(recoveries)
             print(f'owner lost to next start: {shown} s; median {median:.1f}')
         for name, count in calls.items():
--- a/packages/testing/portwharf/testing/launcher.py
+++ b/packages/testing/portwharf/testing/launcher.py
@@ -241,8 +241,8 @@
         )
         path = self.folder / f'{vm.name}.toml'
         path.write_text(text + self.extra_side_settings)
-        binary = os.path.join(os.path.dirname(sys.executable), '')
-        self._spawn(vm.name, [f'{binary}portwharf-side', str(path)])
+        bin_folder = os.path.join(os.path.dirname(sys.executable), '')
+        self._spawn(vm.name, [f'{bin_folder}portwharf-side', str(path)])
 
     def _start_entry(self, vm):
         text = _ENTRY_SETTINGS.format(
@@ -255,8 +255,8 @@
         )
         path = self.folder / f'{vm.name}.toml'
         path.write_text(text)
-        binary = os.path.join(os.path.dirname(sys.executable), '')
-        self._spawn(vm.name, [f'{binary}portwharf', 'serve', str(path)])
+        bin_folder = os.path.join(os.path.dirname(sys.executable), '')
+        self._spawn(vm.name, [f'{bin_folder}portwharf', 'serve', str(path)])
 
     def _spawn(self, name, argv):
         log = open(self.folder / f'{name}.log', 'ab')
--- a/packages/testing/portwharf/testing/platform_runner.py
+++ b/packages/testing/portwharf/testing/platform_runner.py
@@ -71,7 +71,9 @@
             self.running = {}
             self.ended = []
             self.fence = 0
+            # Highest run number that has ended or been stopped, by task.
             self._over = {}
+            # Number of the latest row of ``ended``.
             self._numbers = 0
             self._until_ms = 0
         self.break_connections()
--- a/packages/testing/portwharf/testing/walk.py
+++ b/packages/testing/portwharf/testing/walk.py
@@ -58,7 +58,7 @@
         self.births = random.Random(f'births {seed}') if births else None
         self.jobs = random.Random(f'jobs {seed}') if jobs else None
         self.zones = random.Random(f'zones {seed}') if zones else None
-        self.numbers = itertools.count(1)
+        self.job_numbers = itertools.count(1)
         size = size or self.random.choice((3, 4, 5))
         self.cluster = cluster.Cluster(size)
 
@@ -157,7 +157,7 @@
             )
             for number in range(self.jobs.randint(2, 3))
         ]
-        job = f'{next(self.numbers):016x}'
+        job = f'{next(self.job_numbers):016x}'
         self.cluster.submit_job(
             data.Job(job, 'plans', 1, b'spec', steps, 2000)
         )
--- a/packages/testing/portwharf/testing/walk_test.py
+++ b/packages/testing/portwharf/testing/walk_test.py
@@ -6,7 +6,7 @@
 from portwharf.testing import walk
 
 
-def test_job_fails_with_a_task_that_starts_with_the_crashing_one(case):
+def test_sound_task_that_always_starts_with_a_crasher_may_be_given_up(case):
     """A crashing task caused a sound task of its job to be given up.
 
     Both had started together on the same workers three times, so that
@@ -30,7 +30,7 @@
 
 
 def test_walks_with_closed_zones(case):
-    """Checks that no task starts in a zone after it was closed."""
+    """Checks that no task starts in a zone long after it was closed."""
     for seed in (1, 2, 3, 4):
         with case.subTest(seed=seed):
             walk.Walk(seed, jobs=True, zones=True).run()
