--- a/packages/peers/portwharf/peers/__init__.py
+++ b/packages/peers/portwharf/peers/__init__.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Streams of messages between portwharf's own processes."""
+"""Connections and messages between portwharf's own processes."""
 
 from portwharf.peers import links
 from portwharf.peers import messages
--- a/packages/peers/portwharf/peers/links.py
+++ b/packages/peers/portwharf/peers/links.py
@@ -1,10 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A connection that is dialled again whenever it ends, in its own thread.
+"""A connection to a peer, redialled by its own thread whenever it closes.
 
-What is said on it is the subclass's. Ending a link never waits for a peer:
-whatever it has dialled is closed, greetings under way included, since a
-paused process accepts connections and says nothing.
+Subclasses define the messages. Stopping a link never waits for the peer: it
+closes the connection at once, also during the exchange of greetings, as a
+paused process accepts connections and sends nothing.
 """
 
 import abc
@@ -16,16 +16,19 @@
 
 
 class PeerLink(abc.ABC):
-    """One peer's connection; a context manager that ends it."""
+    """The connection to one peer; a context manager that stops it."""
 
     def __init__(self, name):
-        """Take the peer's VM's name."""
+        """Set up the link.
+
+        :param name: the name of the peer's VM
+        """
         self.name = name
-        # The silence that a connection outlives.
+        # Seconds of silence after which a connection is closed.
         self.idle = streams.IDLE_SECONDS
         self._stop = threading.Event()
-        # Open from dialling on; ``_conn`` only once greetings are exchanged.
-        self._open = None
+        # Set from dialling on; ``_conn`` only after the greetings.
+        self._dialled = None
         self._conn = None
         self._thread = threading.Thread(
             target=self._run, name=f'link-{name}', daemon=True
@@ -41,7 +44,11 @@
 
     @abc.abstractmethod
     def dial(self):
-        """Connect; returns a ``streams.Connection`` or raises PeerError."""
+        """Connect to the peer.
+
+        :returns: a ``streams.Connection``
+        :raises PeerError: the peer cannot be reached
+        """
 
     @abc.abstractmethod
     def make_hello(self):
@@ -49,28 +56,31 @@
 
     @abc.abstractmethod
     def attach(self, conn, peer):
-        """Begin with a connection whose greetings are exchanged.
+        """Start using a connection after the greetings.
 
         :param peer: the peer's ``messages.Hello``
         """
 
     @abc.abstractmethod
     def handle(self, conn, message):
-        """Take one message; raises PeerError to end the connection."""
+        """Handle one message.
+
+        :raises PeerError: the connection is to be closed
+        """
 
     @abc.abstractmethod
     def detach(self):
-        """Forget a connection that has ended."""
+        """Stop using the connection, which is closed."""
 
     def stop(self):
-        """Begin to end, without waiting."""
+        """Close the connection and stop redialling, without waiting."""
         self._stop.set()
-        conn = self._open
+        conn = self._dialled
         if conn is not None:
             conn.close()
 
     def send(self, message):
-        """Send a message if there is a connection; tells whether it went."""
+        """Send a message; returns False if there is no open connection."""
         conn = self._conn
         return conn is not None and conn.try_send(message)
 
@@ -79,27 +89,27 @@
             self._stop.wait(self._connect())
 
     def _connect(self):
-        """Dial and talk until it is over.
+        """Connect and handle messages until the connection closes.
 
-        :returns: the seconds to wait before the next time
+        :returns: the seconds to wait before redialling
         """
-        pause = REDIAL_SECONDS
+        wait_seconds = REDIAL_SECONDS
         try:
             with self.dial() as conn:
-                self._talk(conn)
-        except streams.SilentError as exc:
-            # It has been waited for already.
-            pause = 0.0
+                self._handle_messages(conn)
+        except streams.IdleTimeoutError as exc:
+            # The idle limit was wait enough.
+            wait_seconds = 0.0
             streams.log_end(exc, self.name)
         except streams.PeerError as exc:
             streams.log_end(exc, self.name)
-        self._open = None
+        self._dialled = None
         self._conn = None
         self.detach()
-        return pause
+        return wait_seconds
 
-    def _talk(self, conn):
-        self._open = conn
+    def _handle_messages(self, conn):
+        self._dialled = conn
         if self._stop.is_set():
             return
         peer = streams.greet(conn, self.make_hello(), idle=self.idle)
--- a/packages/peers/portwharf/peers/messages.py
+++ b/packages/peers/portwharf/peers/messages.py
@@ -2,33 +2,33 @@
 # SPDX-License-Identifier: Apache-2.0
 """The messages between portwharf's own processes.
 
-Each is a plain class; ``KINDS`` gives each a short name on the wire. Times
-called ``*_ms`` without more are on the *sender's* monotonic clock and mean
-something only to the process that first wrote them: the peer sends them
-back unread.
+``KINDS`` gives the name of each message class on the wire, and a class's
+field names are those on the wire. Times called ``*_ms`` that are not described
+otherwise are on the sender's monotonic clock. Only the process that first
+wrote such a time can use it: the peer sends it back unchanged.
 """
 
 import dataclasses
 
 from portwharf.core import data
 
-# Raised when a message changes its meaning. A peer with another major
+# Increased when the meaning of a message changes. A peer with another
 # version is refused; new fields and kinds need no new version.
 PROTOCOL_VERSION = 1
-# The reason of a refusal by a side that holds no valid grant.
+# The reason when a side refuses because it holds no valid grant.
 REFUSED_GRANT = 'no-valid-grant'
-# And by one whose availability zone an operator has closed.
+# The reason when an operator has closed the side's availability zone.
 REFUSED_ZONE = 'availability-zone-is-closed'
 
 
 @dataclasses.dataclass(slots=True)
 class Hello:
-    """The first message on a connection, from both ends.
+    """The first message on a connection, sent by both ends.
 
     :param role: ``owner``, ``entry`` or ``side``
     :param name: the VM's name
-    :param instance: differs for each start of the process
-    :param epoch: the epoch of an owner; of a side, the highest it knows
+    :param instance: unique for each start of the process
+    :param epoch: an owner's epoch, or the highest one that a side knows
     """
 
     version: int = PROTOCOL_VERSION
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskReport:
-    """What a side knows of one attempt on its worker."""
+    """The state of one attempt on a side's worker."""
 
     task: str = ''
     attempt: int = 0
@@ -52,21 +52,21 @@
     # Processors used on average lately, in thousandths.
     cpu_milli: int = 0
     memory_mb: int = 0
-    # The worker itself would not start it, as told from the side.
+    # The worker itself refused to start the attempt, as the side reports.
     at_worker: bool = False
-    # Of one that its worker crashed under: which crash of that VM's worker,
-    # and how long after its start, in ms; -1 if that is not known.
+    # For an attempt lost in a crash of its worker: which crash of that VM's
+    # worker, and how long after the start, in ms; -1 if that is unknown.
     crash: str = ''
     ran_ms: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceMeasure:
-    """How a service did at one side, over the time since the last one.
+    """Load of a service at one side since the previous measure.
 
-    :param mean_us: mean time at the runner, in microseconds
-    :param load: share of the slots in use on average
-    :param age_ms: how long ago, on average, this was
+    :param mean_us: mean time of a request at the runner, in microseconds
+    :param load: mean share of the slots in use
+    :param age_ms: mean age of the measured requests
     """
 
     service: str = ''
@@ -78,11 +78,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Press:
-    """How much one image that fills slows one that serves.
+    """How much the tasks of one image slow down the server of another.
 
-    :param press: growth of the logarithm of the server's tail by the share
-        of the VM's processors that the filling tasks use
-    :param deviation: how far off the estimate may be
+    :param serving: image of the task with a latency target
+    :param filling: image of the tasks that use spare processors
+    :param press: increase of the logarithm of the server's tail latency per
+        share of the VM's processors that the filling tasks use
+    :param deviation: uncertainty of the estimate
     """
 
     serving: str = ''
@@ -93,9 +95,9 @@
 
 @dataclasses.dataclass(slots=True)
 class FillChange:
-    """By how much the processors that one image uses have changed.
+    """Change of an image's processor usage.
 
-    :param share: of the VM's processors
+    :param share: change as a share of the VM's processors
     """
 
     image: str = ''
@@ -104,9 +106,9 @@
 
 @dataclasses.dataclass(slots=True)
 class PressObserved:
-    """What changed beside a serving image, and how its tail answered.
+    """Changes beside a serving image, and their effect on its tail latency.
 
-    :param growth: of the logarithm of its tail
+    :param growth: increase of the logarithm of the tail latency
     """
 
     serving: str = ''
@@ -116,8 +118,9 @@
 
 @dataclasses.dataclass(slots=True)
 class PacedTask:
-    """An attempt that works at less than its full pace, in percent.
+    """An attempt that is throttled.
 
+    :param percent: the share of its processors that it may use
     :param done: how much of its work is done, in percent
     """
 
@@ -129,7 +132,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SavedTask:
-    """What a running attempt has saved last."""
+    """The latest checkpoint of a running attempt."""
 
     task: str = ''
     attempt: int = 0
@@ -138,7 +141,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RunMeasure:
-    """How long a task runs in all, working in full, as its side measured."""
+    """A task's total run time at full speed, as its side has measured it."""
 
     task: str = ''
     run_ms: int = 0
@@ -146,9 +149,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Headroom:
-    """What a serving image on a VM could bear beside what is there now.
+    """How much more interference a serving image on a VM can bear.
 
-    :param room: growth of the logarithm of its tail until the target
+    :param room: possible increase of the logarithm of its tail latency until
+        the target is reached
     """
 
     serving: str = ''
@@ -157,29 +161,31 @@
 
 @dataclasses.dataclass(slots=True)
 class PressUpdate:
-    """From an owner to its sides: what all of them have learnt."""
+    """From an owner to its sides: the estimates learnt from all of them."""
 
     presses: list[Press] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class Heartbeat:
-    """From a side to its owner, at a steady beat.
+    """From a side to its owner, at a fixed interval.
 
     :param side_ms: the side's clock, sent back in :class:`Grant`
     :param owner_ms: the owner's clock from the last :class:`Grant`
     :param epoch: the epoch that the side acknowledges by this message; 0
         while a restarted side must not acknowledge any
-    :param pool: the pool that the worker belongs to, or ''
-    :param labels: what the worker is labelled with
-    :param leaves_in_ms: of a draining worker, how long it stays at least
-    :param observed: what was observed of pairs since the last beat
-    :param rack: the rack that the worker stands in, or ''
-    :param life: the id of the worker's life, or ''
-    :param known: first on a connection, what owners have told of pairs
-    :param saved: what running tasks have saved since they were told of
-    :param born_ms: when that life began; an id may come again
-    :param measured: of running tasks, how long they run; each once
+    :param pool: the worker's pool, or ''
+    :param labels: the worker's labels
+    :param leaves_in_ms: minimum time that a draining worker stays
+    :param observed: interference observed since the last heartbeat
+    :param paced: the attempts that are throttled
+    :param rack: the worker's rack, or ''
+    :param life: instance id of the worker's current life, or ''
+    :param known: only in the first heartbeat on a connection, the
+        interference estimates received from owners
+    :param saved: new checkpoints of running attempts
+    :param born_ms: when that life began, as instance ids may be reused
+    :param measured: measured run times of running tasks, each sent once
     """
 
     side_ms: int = 0
@@ -210,9 +216,9 @@
 class Grant:
     """From an owner to a side, in answer to each heartbeat.
 
-    :param side_ms: from the heartbeat that is answered
+    :param side_ms: copied from the heartbeat
     :param owner_ms: the owner's clock when this was sent
-    :param valid: the owner may grant; the side's tasks may go on
+    :param valid: the owner may grant, and the side's tasks may go on
     """
 
     side_ms: int = 0
@@ -223,9 +229,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Reports:
-    """From a side to its owner: attempts that changed, or all of them.
+    """From a side to its owner: reports on attempts.
 
-    :param whole: the list names every attempt that the side knows
+    :param whole: all attempts that the side knows are listed, and not only
+        the changed ones
     """
 
     whole: bool = False
@@ -234,7 +241,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskRef:
-    """One attempt of one task."""
+    """Identifies one attempt of a task."""
 
     task: str = ''
     attempt: int = 0
@@ -242,14 +249,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ForgetTasks:
-    """From an owner: these endings are in the log, drop them."""
+    """From an owner: drop these ended attempts, which are in the log."""
 
     tasks: list[TaskRef] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class StartTask:
-    """From an owner: begin this attempt, which is in the log."""
+    """From an owner: start this attempt, which is in the log."""
 
     epoch: int = 0
     task: str = ''
@@ -263,15 +270,16 @@
     program: str = ''
     argument: bytes = b''
     checkpoint: str = ''
-    # Processors that it asks for, in thousandths, if it uses what others
-    # leave unused and may be paced for their sake; else 0.
+    # For a task that fills: the processors that it requests, in thousandths.
+    # It uses what others leave unused and may be throttled for them. Else 0.
     fill_milli: int = 0
-    # What the tail of its answers has to stay under, 0 for nothing.
+    # The target for its tail latency, 0 for none.
     target_ms: int = 0
-    # What the policy gave for this VM's worker, or ''.
+    # The policy's ticket for this VM's worker, or ''.
     ticket: str = ''
-    # Of one that fills, what is left of its job in processor seconds, and
-    # the wall times by which it should end and is worth nothing.
+    # For a task that fills: the remaining work of its job in processor
+    # seconds, and the wall-clock times by which the job should end and after
+    # which its result is worthless.
     left: float = 0.0
     due_ms: int = 0
     late_ms: int = 0
@@ -279,9 +287,9 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldTask:
-    """What an attempt is that a side's VM holds by the log.
+    """An attempt that a side's VM holds according to the log.
 
-    Fields as in :class:`StartTask`.
+    Fields are as in :class:`StartTask`.
     """
 
     task: str = ''
@@ -303,8 +311,8 @@
 class HeldTasks:
     """From an owner, first on each connection: all that the VM holds.
 
-    The side may have begun none of it: it forgets with its process, and
-    the worker's listing does not say what a task is.
+    A restarted side has forgotten what its attempts were started with, and
+    the worker's listing does not include it.
     """
 
     tasks: list[HeldTask] = dataclasses.field(default_factory=list)
@@ -312,9 +320,9 @@
 
 @dataclasses.dataclass(slots=True)
 class StopTask:
-    """From an owner: end this attempt.
+    """From an owner: stop this attempt.
 
-    :param checkpoint: save the work first, and report where it is
+    :param checkpoint: save a checkpoint first, and report it
     """
 
     epoch: int = 0
@@ -325,7 +333,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ThrottleTask:
-    """From an owner: let this attempt use only part of its processors.
+    """From an owner: limit this attempt to part of its processors.
 
     :param percent: 1 to 100
     """
@@ -338,7 +346,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Resignation:
-    """From an owner that is stopping: it decides nothing any more.
+    """From an owner that is stopping and makes no more decisions.
 
     :param successor: the VM that should take over at once, or ''
     """
@@ -349,9 +357,9 @@
 
 @dataclasses.dataclass(slots=True)
 class RosterUpdate:
-    """The rosters of a shard, from its owner to sides and on to entries.
+    """A shard's rosters, from its owner to sides and from them to entries.
 
-    :param pending: not in force yet; seq 0 if there is none
+    :param pending: the roster that is not in force yet; seq 0 if none
     :param history: the latest rosters, the one in force last
     """
 
@@ -361,7 +369,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ConfigUpdate:
-    """A configuration and its revision, down from owners and entries."""
+    """A configuration and its revision, passed on by owners and entries."""
 
     revision: int = 0
     text: str = ''
@@ -369,10 +377,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ClosedZones:
-    """From an owner to its sides: where nothing may begin now.
+    """From an owner to its sides: zones where nothing may be started.
 
-    :param revision: of the store, at which this was read; of two the later
-        one holds, whoever sent it
+    :param revision: the store's revision when the zones were read; a higher
+        one replaces a lower one, whoever sent it
     """
 
     revision: int = 0
@@ -381,10 +389,10 @@
 
 @dataclasses.dataclass(slots=True)
 class SideState:
-    """From a side to an entry: what it serves and whom it follows.
+    """From a side to an entry: its services, load and owner.
 
-    :param services: the services that may be sent here, as "team/name"
-    :param in_flight: requests running and waiting here
+    :param services: services whose requests may be sent here, "team/name"
+    :param in_flight: number of requests running and queued here
     """
 
     services: list[str] = dataclasses.field(default_factory=list)
@@ -402,7 +410,7 @@
 class Request:
     """From an entry to a side: one caller's request.
 
-    :param left_ms: what is left of the deadline when this is sent
+    :param left_ms: time left until the deadline when this is sent
     :param size: bytes of the whole payload; more may follow as chunks
     """
 
@@ -411,9 +419,9 @@
     service: str = ''
     repeatable: bool = False
     left_ms: int = 0
-    # The caller has sent this id before.
+    # The caller has sent this request id before.
     sent_before: bool = False
-    # The caller has more than its share under way.
+    # The caller exceeds its share of the requests in flight.
     excess: bool = False
     size: int = 0
     payload: bytes = b''
@@ -421,7 +429,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Chunk:
-    """More of a request's or an answer's payload, in order."""
+    """The next part of the payload of a request or an answer."""
 
     id: int = 0
     payload: bytes = b''
@@ -429,14 +437,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Withdraw:
-    """From an entry: its caller no longer waits for this request."""
+    """From an entry: the caller no longer waits for this request."""
 
     id: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """From a side: what became of one request.
+    """From a side: the outcome of one request.
 
     :param size: bytes of the whole payload; more may follow as chunks
     :param checksum: xxh64 of the whole payload
@@ -458,7 +466,7 @@
 class Operation:
     """From an entry: an operator's call for a shard's owner.
 
-    :param body: the call's arguments, packed by the ``codec`` module
+    :param body: the call's arguments, encoded by the ``codec`` module
     """
 
     id: int = 0
@@ -468,7 +476,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OperationResult:
-    """What became of an operator's call.
+    """The outcome of an operator's call.
 
     :param status: ``ok``, ``refused``, ``not-owner`` or ``unknown``
     """
@@ -481,7 +489,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OwnerQuery:
-    """Between sides: do you hear the owner of this epoch?"""
+    """Between sides: asks whether the owner of this epoch is heard."""
 
     epoch: int = 0
 
@@ -491,9 +499,9 @@
     """The answer to :class:`OwnerQuery`.
 
     :param epoch: the highest epoch that the side knows
-    :param hears: it has heard that epoch's owner lately
-    :param restarted: it has forgotten, so its epoch proves nothing
-    :param unheard: it has heard no owner since its start
+    :param hears: it has recently heard the owner of the queried epoch
+    :param restarted: it has lost its state, so its epoch proves nothing
+    :param unheard: it has heard no owner since it started
     """
 
     epoch: int = 0
--- a/packages/peers/portwharf/peers/streams.py
+++ b/packages/peers/portwharf/peers/streams.py
@@ -1,19 +1,19 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Connections that carry messages both ways over TCP.
-
-A frame is one msgpack value, ``[kind, map]``; ``msgpack``'s own streaming
-reader finds where it ends. Frames of unknown kinds are skipped, so that a
-newer peer can send them. A frame that is too large or garbled, silence for
-longer than the idle limit, or a peer that does not read, end that one
-connection and nothing else. One thread reads; any thread may send, whole
-frames at a time.
-
-A connection may go silent for good without an end: packets are lost both
-ways while new connections work. So the thread that reads sends a sign of
-life when nothing else was sent for a while, and either end closes when it
-has heard nothing for its idle limit. Senders that are blocked by then are
-let go.
+"""Connections that carry messages in both directions over TCP.
+
+A frame is one msgpack value, ``[kind, map]``; msgpack's streaming reader
+finds its end. Frames of unknown kinds are skipped, so that newer peers can
+send them. A frame that is too large or malformed, silence for longer than the
+idle limit, or a peer that does not read closes that connection only. One
+thread reads a connection; any thread may send on it, one whole frame at a
+time.
+
+A connection may go silent without being closed, when packets are lost in both
+directions while new connections work. So the reading thread sends a
+keep-alive frame when nothing else was sent for a while, and each end closes
+the connection when it has received nothing for its idle limit. That also
+releases blocked senders.
 """
 
 import logging
@@ -31,61 +31,65 @@
 
 LOG = logging.getLogger(__name__)
 
-# A frame holds at most a chunk of payload or a list of reports.
+# Large enough for a chunk of payload or a list of reports.
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-# Payloads go in pieces of this size, so that small frames get between.
+# Payloads are sent in pieces, so that small frames can go in between.
 CHUNK_BYTES = 64 * 1024
 DIAL_SECONDS = 1.0
 GREETING_SECONDS = 3.0
-# Silence that ends a connection: with a new one at once and its greetings,
-# well within the 3 s after which the users' rules bind again.
+# Silence that closes a connection. Redialling and the greetings have to fit
+# as well into the 3 s after which the users' rules apply again.
 IDLE_SECONDS = 1.6
-# Signs of life that may be lost or late within an idle limit.
-SIGNS_A_LIMIT = 3
+# Keep-alive frames that are sent within one idle limit.
+KEEP_ALIVES_PER_LIMIT = 3
 KEEP_ALIVE = 'keep-alive'
-# For a frame to get into the buffers of a slow path; a silent one is ended
-# by the thread that reads.
+# Limit for sending a frame on a slow path. On a silent path the reading
+# thread closes the connection sooner.
 SEND_SECONDS = 10.0
-# A blocked sender looks so often whether its connection was closed.
-_BLOCKED_SECONDS = 0.1
+# How often a blocked sender checks whether its connection was closed.
+_BLOCKED_POLL_SECONDS = 0.1
 _READ_BYTES = 64 * 1024
 _BACKLOG = 512
 _MS = 1000
-_NOT_NOW = (BlockingIOError, ssl.SSLWantReadError, ssl.SSLWantWriteError)
-_SIGN = msgpack.packb([KEEP_ALIVE, {}])
+_WOULD_BLOCK = (BlockingIOError, ssl.SSLWantReadError, ssl.SSLWantWriteError)
+_KEEP_ALIVE_FRAME = msgpack.packb([KEEP_ALIVE, {}])
 
 
 class PeerError(Exception):
-    """The connection is over; the text says why."""
+    """The connection is closed or unusable; the text says why."""
 
 
-class SilentError(PeerError):
-    """The peer, or the path to it, was silent for too long."""
+class IdleTimeoutError(PeerError):
+    """Nothing was received for longer than the idle limit."""
 
 
 class GarbledError(PeerError):
-    """The peer sent what no peer of ours would."""
+    """The peer sent data that violates the protocol."""
 
 
 class Connection:
-    """One stream of messages; a context manager that closes it."""
+    """A connection to one peer; a context manager that closes it."""
 
     def __init__(self, sock, peer):
-        """Take a connected socket and a name for the log."""
+        """Set up a connection.
+
+        :param sock: a connected socket
+        :param peer: the peer's name in log lines
+        """
         self.peer = peer
         self._sock = sock
-        self._lock = threading.Lock()
+        self._send_lock = threading.Lock()
         self._closed = False
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setblocking(False)
-        # Held for one read or write that does not wait: a TLS object may be
-        # used by one thread at a time, and corrupts memory otherwise.
-        self._io = threading.Lock()
-        self._readable = select.poll()
-        self._readable.register(sock, select.POLLIN)
-        self._writable = select.poll()
-        self._writable.register(sock, select.POLLOUT)
+        # Held for each read or write, none of which blocks. A TLS object
+        # used by two threads at once corrupts memory.
+        self._io_lock = threading.Lock()
+        self._read_poll = select.poll()
+        self._read_poll.register(sock, select.POLLIN)
+        self._write_poll = select.poll()
+        self._write_poll.register(sock, select.POLLOUT)
         self._sent_at = time.monotonic()
         self.set_idle(IDLE_SECONDS)
 
@@ -101,7 +105,7 @@
         return self._closed
 
     def close(self):
-        """Close the connection; a thread that reads it wakes up."""
+        """Close the connection; a blocked reader wakes up."""
         self._closed = True
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
@@ -112,12 +116,12 @@
     def send(self, message):
         """Send one message.
 
-        :raises PeerError: the connection is over
+        :raises PeerError: the connection is closed
         """
         kind = messages.NAMES[type(message)]
         frame = msgpack.packb([kind, codec.to_map(message)])
         try:
-            with self._lock:
+            with self._send_lock:
                 self._send_all(frame)
                 self._sent_at = time.monotonic()
         except (OSError, ValueError) as exc:
@@ -127,16 +131,16 @@
     def receive(self):
         """Return the next message, waiting up to the idle limit.
 
-        :raises PeerError: the connection is over
+        :raises PeerError: the connection is closed
         """
         while True:
             frame = self._receive_frame()
-            message = _read_frame(frame)
+            message = _decode_frame(frame)
             if message is not None:
                 return message
 
     def try_send(self, message):
-        """Send one message, or return False if the connection is over."""
+        """Send one message; returns False if the connection is closed."""
         try:
             self.send(message)
         except PeerError:
@@ -148,100 +152,106 @@
             while True:
                 for frame in self._unpacker:
                     return frame
-                self._wait_for_bytes()
-                raw = self._recv()
+                self._wait_until_readable()
+                raw = self._read_available()
                 if raw is None:
                     continue
                 if not raw:
                     raise PeerError('closed by the peer')
                 self._unpacker.feed(raw)
         except TimeoutError as exc:
-            raise SilentError('silent for too long') from exc
+            raise IdleTimeoutError('silent for too long') from exc
         except OSError as exc:
             raise PeerError(f'cannot read: {exc}') from exc
         except (ValueError, msgpack.UnpackException) as exc:
             raise GarbledError(f'cannot read: {exc}') from exc
 
-    def _recv(self):
-        """Read what is there; None if that is no message's bytes.
+    def _read_available(self):
+        """Return the available bytes, or None if there are none yet.
 
-        A TLS record may carry nothing for us, or have come in part.
+        A TLS record may have arrived in part, or contain no payload.
         """
         try:
-            with self._io:
+            with self._io_lock:
                 return self._sock.recv(_READ_BYTES)
-        except _NOT_NOW:
+        except _WOULD_BLOCK:
             return None
 
     def _send_all(self, frame):
-        """Send a frame, whatever it has to wait for.
+        """Send a whole frame, waiting for the peer to read as needed.
 
         :raises TimeoutError: the peer does not read
         """
-        limit = time.monotonic() + SEND_SECONDS
-        rest = memoryview(frame)
-        while rest:
+        deadline = time.monotonic() + SEND_SECONDS
+        remaining = memoryview(frame)
+        while remaining:
             try:
-                with self._io:
-                    sent = self._sock.send(rest[:CHUNK_BYTES])
-                rest = rest[sent:]
-            except _NOT_NOW as exc:
-                if self._closed or time.monotonic() > limit:
+                with self._io_lock:
+                    sent = self._sock.send(remaining[:CHUNK_BYTES])
+                remaining = remaining[sent:]
+            except _WOULD_BLOCK as exc:
+                if self._closed or time.monotonic() > deadline:
                     raise TimeoutError('the peer does not read') from exc
-                self._wait_to_send(exc)
+                self._wait_until_writable(exc)
+
+    def _wait_until_writable(self, exc):
+        """Wait until a blocked write may go on, or for a short time.
 
-    def _wait_to_send(self, exc):
-        """Wait until a write that could not go on may, or for a while."""
-        reads = isinstance(exc, ssl.SSLWantReadError)
-        waits = self._readable if reads else self._writable
-        waits.poll(_BLOCKED_SECONDS * _MS)
+        :param exc: how the write was blocked; TLS may need a read first
+        """
+        wants_read = isinstance(exc, ssl.SSLWantReadError)
+        poll = self._read_poll if wants_read else self._write_poll
+        poll.poll(_BLOCKED_POLL_SECONDS * _MS)
 
-    def _wait_for_bytes(self):
-        """Wait until there is something to read, with signs of life.
+    def _wait_until_readable(self):
+        """Wait until there are bytes to read, sending keep-alive frames.
 
         :raises TimeoutError: nothing came within the idle limit
         """
-        limit = time.monotonic() + self._idle
+        deadline = time.monotonic() + self._idle_seconds
         while not self._closed:
-            self._keep_alive()
-            left = limit - time.monotonic()
+            self._send_keep_alive()
+            left = deadline - time.monotonic()
             if left <= 0:
                 raise TimeoutError
-            wait = min(left, self._idle / SIGNS_A_LIMIT)
-            if self._readable.poll(wait * _MS):
+            wait = min(left, self._idle_seconds / KEEP_ALIVES_PER_LIMIT)
+            if self._read_poll.poll(wait * _MS):
                 return
 
-    def _keep_alive(self):
-        """Send a sign of life if nothing was sent for a while.
+    def _send_keep_alive(self):
+        """Send a keep-alive frame if nothing was sent for a while.
 
-        Never waits: while another thread sends, or what was sent before
-        still fills the buffers, none is needed.
+        Never blocks. None is needed while another thread sends, or while
+        earlier frames still fill the socket's buffer.
         """
-        if time.monotonic() - self._sent_at < self._idle / SIGNS_A_LIMIT:
+        if (
+            time.monotonic() - self._sent_at
+            < self._idle_seconds / KEEP_ALIVES_PER_LIMIT
+        ):
             return
-        if not self._lock.acquire(blocking=False):
+        if not self._send_lock.acquire(blocking=False):
             return
         try:
-            if self._writable.poll(0):
-                self._send_all(_SIGN)
+            if self._write_poll.poll(0):
+                self._send_all(_KEEP_ALIVE_FRAME)
                 self._sent_at = time.monotonic()
         finally:
-            self._lock.release()
+            self._send_lock.release()
 
     def set_idle(self, seconds):
-        """Bound the silence that the connection outlives.
+        """Set how many seconds of silence close the connection.
 
-        The peer's bound has to be like ours, as signs of life are sent by
-        our own.
+        Both ends need similar limits, as each sends its keep-alive frames
+        at intervals that depend on its own.
         """
-        self._idle = seconds
+        self._idle_seconds = seconds
 
 
 class Listener:
-    """Accepts connections, each handled in a thread of its own."""
+    """Accepts connections and handles each one in a thread of its own."""
 
     def __init__(self, address, port, handle, context=None):
-        """Listen on an address; port 0 takes any that is free.
+        """Listen on an address; port 0 takes any free port.
 
         :param handle: called with each :class:`Connection`, which is
             closed when it returns
@@ -260,7 +270,7 @@
 
     @property
     def port(self):
-        """The port that it listens on."""
+        """The port that the listener is bound to."""
         return self._sock.getsockname()[1]
 
     def __enter__(self):
@@ -295,9 +305,9 @@
 
     def _serve(self, sock, peer):
         try:
-            conn = Connection(self._wrap(sock), peer)
+            conn = Connection(self._start_tls(sock), peer)
         except (OSError, ssl.SSLError) as exc:
-            LOG.warning('no TLS: %s', exc, extra=logs.fields(peer=peer))
+            LOG.warning('TLS failed: %s', exc, extra=logs.fields(peer=peer))
             sock.close()
             return
         with self._lock:
@@ -308,13 +318,13 @@
         except PeerError as exc:
             log_end(exc, peer)
         except Exception:
-            # A fault of ours, but one that this connection alone met.
+            # A bug in the handler must not affect other connections.
             LOG.exception('connection failed', extra=logs.fields(peer=peer))
         finally:
             with self._lock:
                 self._conns.discard(conn)
 
-    def _wrap(self, sock):
+    def _start_tls(self, sock):
         if self._context is None:
             return sock
         sock.settimeout(GREETING_SECONDS)
@@ -322,11 +332,11 @@
 
 
 def log_end(exc, peer):
-    """Log why a connection is over, louder if it should never happen."""
+    """Log why a connection was closed, a protocol violation as a warning."""
     level = logging.DEBUG
     if isinstance(exc, GarbledError):
         level = logging.WARNING
-    LOG.log(level, 'connection over: %s', exc, extra=logs.fields(peer=peer))
+    LOG.log(level, 'connection closed: %s', exc, extra=logs.fields(peer=peer))
 
 
 def dial(address, port, context=None):
@@ -346,15 +356,15 @@
 
 
 def greet(conn, hello, seconds=GREETING_SECONDS, idle=IDLE_SECONDS):
-    """Exchange greetings on a new connection, from the dialling end.
+    """Exchange greetings on a new connection, as the dialling end.
 
-    A paused process accepts connections and says nothing, so that the wait
-    is shorter than that for later messages.
+    The wait for the greeting has its own limit, as a paused process accepts
+    connections and sends nothing.
 
-    :param seconds: how long to wait for the peer's
-    :param idle: the silence that the connection outlives from then on
+    :param seconds: how long to wait for the peer's greeting
+    :param idle: the idle limit in seconds after the greetings
     :returns: the peer's :class:`messages.Hello`
-    :raises PeerError: no greeting, or another version
+    :raises PeerError: no greeting, or another protocol version
     """
     conn.set_idle(seconds)
     conn.send(hello)
@@ -364,12 +374,12 @@
 
 
 def check_greeting(message):
-    """Return the peer's greeting if it is one that we understand.
+    """Return the peer's greeting if it is a valid one.
 
-    :raises PeerError: it is not
+    :raises PeerError: not a greeting, or another protocol version
     """
     if not isinstance(message, messages.Hello):
-        raise GarbledError(f'no greeting but {type(message).__name__}')
+        raise GarbledError(f'no greeting but a {type(message).__name__}')
     if message.version != messages.PROTOCOL_VERSION:
         raise GarbledError(
             f'protocol version {message.version}, '
@@ -378,20 +388,20 @@
     return message
 
 
-def _read_frame(frame):
+def _decode_frame(frame):
     """Return the message in a frame, or None if its kind is unknown.
 
-    :raises PeerError: the frame is garbled
+    :raises PeerError: the frame is malformed
     """
     if not isinstance(frame, list) or len(frame) != 2:
-        raise GarbledError('garbled frame')
+        raise GarbledError('malformed frame')
     kind, fields = frame
     if not isinstance(kind, str):
-        raise GarbledError('garbled kind')
+        raise GarbledError('malformed kind of a frame')
     cls = messages.KINDS.get(kind)
     if cls is None:
         return None
     try:
         return codec.from_map(cls, fields)
     except (TypeError, ValueError) as exc:
-        raise GarbledError(f'garbled {kind}: {exc}') from exc
+        raise GarbledError(f'malformed {kind}: {exc}') from exc
--- a/packages/peers/portwharf/peers/streams_test.py
+++ b/packages/peers/portwharf/peers/streams_test.py
@@ -179,7 +179,7 @@
     conn, theirs = make_pair(case, 0.3)
     taken = queue.Queue()
     threading.Thread(target=lambda: taken.put(conn.receive())).start()
-    for _ in range(2 * streams.SIGNS_A_LIMIT):
+    for _ in range(2 * streams.KEEP_ALIVES_PER_LIMIT):
         frame = theirs.recv(1000)
         case.assertEqual(msgpack.unpackb(frame), [streams.KEEP_ALIVE, {}])
         theirs.sendall(frame)
@@ -202,7 +202,7 @@
     conn.send(HELLO)
     conn.receive()
     between.hush()
-    with case.assertRaises(streams.SilentError):
+    with case.assertRaises(streams.IdleTimeoutError):
         conn.receive()
     case.assertIn('silent', ended.get(timeout=8))
 
@@ -221,7 +221,7 @@
 
     sender = threading.Thread(target=send_on)
     sender.start()
-    with case.assertRaises(streams.SilentError), conn:
+    with case.assertRaises(streams.IdleTimeoutError), conn:
         while True:
             conn.receive()
     sender.join(8)
@@ -249,5 +249,5 @@
     conn.set_idle(0.3)
     # No read waits by itself, so that only the limit above counts.
     case.assertFalse(conn._sock.getblocking())
-    with case.assertRaises(streams.SilentError):
+    with case.assertRaises(streams.IdleTimeoutError):
         conn.receive()
--- a/packages/peers/portwharf/peers/tls.py
+++ b/packages/peers/portwharf/peers/tls.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Mutual TLS between our own processes, by the standard library.
+"""Mutual TLS between portwharf's processes.
 
-Every process has a certificate of the deployment's own authority; one
-without is turned away at both ends. Going without needs an explicit
+Every process has a certificate from the deployment's own authority, and both
+ends refuse a peer without one. Plain text needs an explicit
 ``plaintext = true`` in the settings.
 """
 
@@ -25,18 +25,19 @@
 
     :raises OSError: a file cannot be read
     """
-    return _make(files, ssl.PROTOCOL_TLS_SERVER)
+    return _make_context(files, ssl.PROTOCOL_TLS_SERVER)
 
 
 def make_client_context(files):
     """Return the context of a dialler, or None for plain text.
 
-    The peer's name is not checked: addresses change with every replaced
-    VM, and the authority signs nothing but processes of the deployment.
+    The peer's name is not checked: addresses change whenever a VM is
+    replaced, and the authority signs certificates for processes of the
+    deployment only.
 
     :raises OSError: a file cannot be read
     """
-    return _make(files, ssl.PROTOCOL_TLS_CLIENT)
+    return _make_context(files, ssl.PROTOCOL_TLS_CLIENT)
 
 
 def make_files(values):
@@ -46,7 +47,7 @@
     return TlsFiles(values['certificate'], values['key'], values['authority'])
 
 
-def _make(files, protocol):
+def _make_context(files, protocol):
     if files is None:
         return None
     context = ssl.SSLContext(protocol)
