--- a/packages/platform/portwharf/platform/advice.py
+++ b/packages/platform/portwharf/platform/advice.py
@@ -1,24 +1,24 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's advice service as portwharf's own ``policy.Policy``."""
+"""A client of the platform's advice service, as a ``policy.Policy``."""
 
 import result
 
-from portwharf.platform import http
+from portwharf.platform import http_client
 from portwharf.scheduler import policy
 
-# An answer takes some milliseconds for each worker that is named, after
-# the callers before us.
+# The service answers one question at a time and takes some milliseconds for
+# each worker that the question names.
 CALL_SECONDS = 5.0
 _OK = 200
 
 
-class AdviceService(policy.Policy):
-    """A client of the service; a context manager that closes it."""
+class AdviceClient(policy.Policy):
+    """Asks the advice service; a context manager that closes connections."""
 
     def __init__(self, endpoint):
         """Take the service's ``settings.Endpoint``."""
-        self._client = http.Client(endpoint, 1)
+        self._client = http_client.Client(endpoint, 1)
 
     def __enter__(self):
         return self
@@ -27,8 +27,8 @@
         self._client.__exit__(*exc_info)
 
     def ask(self, step, lives):
-        # A ticket is one life's, and the service knows workers by their
-        # ids alone: no two of one question have the same.
+        # A ticket is valid for one life. The service knows workers by their
+        # instance ids, which are unique within one question.
         by_instance = {life.instance: life for life in lives}
         body = {'step': step, 'workers': list(by_instance)}
         reply = self._client.call(
--- a/packages/platform/portwharf/platform/advice_test.py
+++ b/packages/platform/portwharf/platform/advice_test.py
@@ -27,7 +27,7 @@
 
     port = fixtures.serve(case, answer)
     place = settings.Endpoint('127.0.0.1', port)
-    return case.enterContext(advice.AdviceService(place)), bodies
+    return case.enterContext(advice.AdviceClient(place)), bodies
 
 
 def test_allowed_workers_come_with_their_tickets(case):
--- a/packages/platform/portwharf/platform/beats.py
+++ b/packages/platform/portwharf/platform/beats.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Takes the heartbeats of the runner beside a side."""
+"""Receives the heartbeats of the runner beside a side."""
 
 import json
 import logging
@@ -8,7 +8,7 @@
 from portwharf.core import data
 from portwharf.core import logs
 from portwharf.core import web
-from portwharf.platform import fields
+from portwharf.platform import json_fields
 from portwharf.platform import metrics
 from portwharf import workers
 
@@ -19,18 +19,21 @@
 _STATES = (READY, DRAINING)
 PREFIX = '/portwharf/instances/'
 MAX_BODY_BYTES = 64 * 1024
-# Of a reason that is told, in characters.
-MAX_REASON = 200
+MAX_REASON_CHARS = 200
 
 
-class Beats:
-    """The WSGI application that the runner calls."""
+class HeartbeatReceiver:
+    """The WSGI application that the runner sends its heartbeats to."""
 
-    def __init__(self, take_life):
-        """Take a function of a :class:`workers.Life`."""
-        self._take_life = take_life
-        # Why the last heartbeat was refused, or None.
-        self._refused = None
+    def __init__(self, on_life):
+        """Set up the receiver.
+
+        :param on_life: called with the :class:`workers.Life` of each
+            valid heartbeat
+        """
+        self._on_life = on_life
+        # The reason of the last refusal, None after a valid heartbeat.
+        self._last_refusal = None
 
     def __call__(self, environ, start_response):
         path = environ.get('PATH_INFO', '')
@@ -44,19 +47,19 @@
         try:
             size = int(environ.get('CONTENT_LENGTH') or 0)
             raw = environ['wsgi.input'].read(min(size, MAX_BODY_BYTES))
-            life = read_life(instance, json.loads(raw))
+            life = parse_life(instance, json.loads(raw))
         except (ValueError, AttributeError, RecursionError) as exc:
             return self._refuse(start_response, instance, exc)
-        self._refused = None
-        self._take_life(life)
+        self._last_refusal = None
+        self._on_life(life)
         return web.answer_json(start_response, 200, {})
 
     def _refuse(self, start_response, instance, exc):
-        """Refuse what cannot be read; a row of the same is logged once."""
+        """Refuse a malformed heartbeat; logs the same reason once in a row."""
         metrics.UNREADABLE.labels('heartbeat').inc()
-        reason = f'{exc}'[:MAX_REASON]
-        if reason != self._refused:
-            self._refused = reason
+        reason = f'{exc}'[:MAX_REASON_CHARS]
+        if reason != self._last_refusal:
+            self._last_refusal = reason
             extra = logs.fields(life=instance, reason=reason)
             LOG.warning('heartbeat refused', extra=extra)
         text = f'not a heartbeat: {reason}; send its fields as JSON\n'
@@ -64,38 +67,40 @@
 
 
 def read_birth(value):
-    """Return when a runner says that it began; 0 if it does not.
+    """Return the birth time of the runner's life; 0 if it is missing.
 
-    Everything that it says of itself, and of what it runs, has ``born``.
+    Heartbeats and lists carry it as ``born``, in ms.
 
-    :raises ValueError: it is no whole number
+    :raises ValueError: not an integer
     """
-    return fields.read_whole(value, 'born')
+    return json_fields.read_int(value, 'born')
+
 
+def parse_life(instance, value):
+    """Return the ``workers.Life`` that a heartbeat describes.
 
-def read_life(instance, value):
-    """Return the ``workers.Life`` of a heartbeat's body.
+    On the wire ``service`` names the runner's pool.
 
-    :raises ValueError: a field is missing, of another type or unknown
+    :raises ValueError: a field is missing, malformed or has no valid value
     """
-    room = fields.read_map(value, 'capacity')
-    # A runner's labels are its kind and its rack, in this order.
-    labels = fields.read_list(value, 'labels', str)
-    state = fields.read_text(value, 'state', READY)
+    capacity = json_fields.read_dict(value, 'capacity')
+    # The first label is the runner's kind, the second one its rack.
+    labels = json_fields.read_list(value, 'labels', str)
+    state = json_fields.read_str(value, 'state', READY)
     if state not in _STATES:
         raise ValueError(f'"state" is {state!r:.40}, not one of {_STATES}')
     return workers.Life(
         data.LifeId(instance, read_birth(value)),
-        fields.read_text(value, 'service', None),
-        fields.read_text(value, 'zone'),
+        json_fields.read_str(value, 'service', None),
+        json_fields.read_str(value, 'zone'),
         data.Resources(
-            fields.read_whole(room, 'cpu'),
-            fields.read_whole(room, 'memMb'),
-            fields.read_whole(room, 'gpu'),
+            json_fields.read_int(capacity, 'cpu'),
+            json_fields.read_int(capacity, 'memMb'),
+            json_fields.read_int(capacity, 'gpu'),
         ),
         labels,
         labels[1] if len(labels) > 1 else '',
         state == DRAINING,
-        fields.read_whole(value, 'remainingMs'),
-        fields.read_whole(value, 'seq'),
+        json_fields.read_int(value, 'remainingMs'),
+        json_fields.read_int(value, 'seq'),
     )
--- a/packages/platform/portwharf/platform/beats_test.py
+++ b/packages/platform/portwharf/platform/beats_test.py
@@ -22,7 +22,7 @@
 
 def send(taken, path, body):
     """Send a call of the runner's."""
-    pool = fixtures.WsgiPool(beats.Beats(taken.append))
+    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(taken.append))
     return pool.request('POST', path, json.dumps(body))
 
 
--- a/packages/platform/portwharf/platform/boot.py
+++ b/packages/platform/portwharf/platform/boot.py
@@ -1,9 +1,9 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The settings that the platform lays for a process, and what follows.
+"""Settings that the platform writes for a process, and time limits from them.
 
-The file is read once at the start. Fields that are not known are left
-alone, as the platform may add some at any time.
+The file is read once, at the start. Unknown fields are ignored, as the
+platform may add some at any time.
 """
 
 import dataclasses
@@ -16,29 +16,30 @@
 from portwharf.core import settings
 from portwharf.scheduler import limits
 
-VARIABLE = 'PORTWHARF_BOOT'
+PATH_VARIABLE = 'PORTWHARF_BOOT'
 _MS = 1000
-# Used where the file does not say how long a lease may be.
+# The longest lease, if the file does not say.
 _MAX_HOLD_MS = 6000
-# Of the store's calls a second, what one process may use.
-_WRITES_A_PROCESS = 0.15
+# Share of the store's writes per second that one process may use for all of
+# its calls.
+_PROCESS_WRITE_SHARE = 0.15
 
 
 @dataclasses.dataclass(slots=True)
-class Boot:
-    """What a process learns of itself and of the platform.
-
-    :param vm: this VM, with the first of our own ports
-    :param clients: Endpoint where job calls come in, or None
-    :param readiness: Endpoint that the balancer asks, or None
-    :param beats: Endpoint where the runner's heartbeats come in, or None
-    :param runner: Endpoint of the runner beside us, or None
-    :param pages_port: where our own metrics are served
+class BootSettings:
+    """The checked settings of one process.
+
+    :param vm: this VM, with the first of the ports reserved for portwharf
+    :param clients: Endpoint for the job calls of clients, or None
+    :param readiness: Endpoint for the balancer's readiness checks, or None
+    :param beats: Endpoint for the runner's heartbeats, or None
+    :param runner: Endpoint of the runner on this VM, or None
+    :param pages_port: port of the health and metrics pages
     :param store: Endpoint of the store
-    :param store_calls: calls a second that this process may make
-    :param advice: Endpoint of the policy's service, or None
-    :param max_hold_ms: the longest lease that a runner gives
-    :param grace_seconds: from a stop's announcement to a kill
+    :param store_calls: calls per second that this process may make
+    :param advice: Endpoint of the advice service, or None
+    :param max_hold_ms: the longest lease that a runner accepts
+    :param grace_seconds: time from the stop signal to the kill
     """
 
     vm: data.Vm = None
@@ -54,38 +55,43 @@
     grace_seconds: float = 6.0
 
 
-def read_boot(environ=os.environ):
-    """Read the file that the environment names.
+def read_settings(environ=os.environ):
+    """Read the settings file whose path the environment gives.
 
-    :returns: Ok(Boot), or Err(list of Problems)
+    :returns: Ok(BootSettings), or Err(list of Problems)
     """
-    path = environ.get(VARIABLE, '')
+    path = environ.get(PATH_VARIABLE, '')
     try:
         with open(path, 'rb') as source:
             values = tomllib.load(source)
     except (OSError, ValueError) as exc:
-        return result.Err([_describe(VARIABLE, path, str(exc))])
+        return result.Err([_make_problem(PATH_VARIABLE, path, str(exc))])
     try:
-        return result.Ok(decode_boot(values))
+        return result.Ok(decode_settings(values))
     except (KeyError, TypeError, ValueError) as exc:
-        return result.Err([_describe('', path, f'lacks or garbles {exc}')])
+        return result.Err(
+            [_make_problem('', path, f'missing or bad field: {exc}')]
+        )
 
 
-def decode_boot(values):
-    """Return the :class:`Boot` of a settings file's values.
+def decode_settings(values):
+    """Return the :class:`BootSettings` for the values of a settings file.
 
-    :raises KeyError: a field that is needed is missing
-    :raises ValueError: an address or a number is not one
+    On the wire ``front`` is the entry's endpoint for clients, ``control``
+    the side's endpoint for heartbeats, and ``app`` the runner's endpoint.
+
+    :raises KeyError: a required field is missing
+    :raises ValueError: an address or a number is malformed
     """
     listen = values.get('listen', {})
     bounds = values.get('bounds', {})
     platform = values['platform']
-    # First and last of the ports that are free for us.
+    # The first and the last port of the range reserved for portwharf.
     port, last_port = values['internalPorts']
     role = data.Role.ENTRY
     if 'side' in values['serves']:
         role = data.Role.ENDPOINT
-    return Boot(
+    return BootSettings(
         data.Vm(values['node'], values['ip'], port, values['zone'], role=role),
         _find_endpoint(listen, 'front'),
         _find_endpoint(listen, 'ready'),
@@ -93,7 +99,7 @@
         _find_endpoint(values, 'app'),
         min(port + 1, last_port),
         _find_endpoint(platform, 'address'),
-        max(20.0, platform['writes_per_s'] * _WRITES_A_PROCESS),
+        max(20.0, platform['writes_per_s'] * _PROCESS_WRITE_SHARE),
         _find_endpoint(values, 'advice'),
         int(bounds.get('maxHoldMs', _MAX_HOLD_MS)),
         float(bounds.get('graceS', 6.0)),
@@ -101,19 +107,20 @@
 
 
 def make_limits(boot):
-    """Return the time limits that suit the platform's leases.
+    """Return time limits that fit the platform's longest lease.
 
-    A lease is given for ``guard + lease`` at the most, which has to fit
-    into the longest that a runner gives, with a heartbeat to spare. Shorter
-    leases free a silent VM's tasks sooner; longer ones live through a
-    change of owners, which takes takeover, asking and a first heartbeat.
+    A task's lease lasts ``guard + lease`` at most, which has to be shorter
+    than the longest lease that a runner accepts, by at least a heartbeat.
+    Shorter leases release a silent VM's tasks sooner. Longer ones survive a
+    change of owner, which takes the takeover time, the questions to the
+    other sides and a first heartbeat.
     """
-    longest = boot.max_hold_ms / _MS
+    longest_lease = boot.max_hold_ms / _MS
     return limits.Limits(
         heartbeat=0.4,
         confirm=1.6,
-        guard=min(2.6, longest * 0.45),
-        lease=min(2.0, longest * 0.35),
+        guard=min(2.6, longest_lease * 0.45),
+        lease=min(2.0, longest_lease * 0.35),
         takeover=1.3,
         rank_step=0.3,
         unreachable=1.5,
@@ -122,7 +129,7 @@
 
 
 def _find_endpoint(values, name):
-    """Return the Endpoint under a name, or None if there is none."""
+    """Return the Endpoint in a field, or None if the field is missing."""
     text = values.get(name, '')
     if not text:
         return None
@@ -130,7 +137,7 @@
     return settings.Endpoint(address, int(port))
 
 
-def _describe(field, value, text):
+def _make_problem(field, value, text):
     return data.Problem(
         'bad-settings', field, value, text, 'mend the settings file'
     )
--- a/packages/platform/portwharf/platform/boot_test.py
+++ b/packages/platform/portwharf/platform/boot_test.py
@@ -33,7 +33,7 @@
     folder = case.enterContext(tempfile.TemporaryDirectory())
     path = pathlib.Path(folder) / 'boot.toml'
     path.write_text(text)
-    return boot.read_boot({boot.VARIABLE: str(path)})
+    return boot.read_settings({boot.PATH_VARIABLE: str(path)})
 
 
 def test_side_learns_its_place(case):
@@ -67,5 +67,5 @@
 
 
 def test_missing_file_is_named(case):
-    found = boot.read_boot({boot.VARIABLE: '/nowhere/boot.toml'})
+    found = boot.read_settings({boot.PATH_VARIABLE: '/nowhere/boot.toml'})
     case.assertIn('/nowhere/boot.toml', found.err_value[0].describe())
--- a/packages/platform/portwharf/platform/clients_test.py
+++ b/packages/platform/portwharf/platform/clients_test.py
@@ -11,7 +11,7 @@
 from portwharf.entry import leaving
 from portwharf.entry import owners
 from portwharf.platform import clients
-from portwharf.platform import routes
+from portwharf.platform import decoding
 from portwharf.scheduler import configuration
 from portwharf.scheduler import job_operations
 from portwharf.scheduler import operations
@@ -75,13 +75,13 @@
 
 def open_calls(stopping=False):
     """Return a client of the application, and the owners behind it."""
-    keeper = configuration.ConfigKeeper(routes.parse_config)
+    keeper = configuration.ConfigKeeper(decoding.parse_config)
     calls = FakeCalls()
     now = clock.ManualClock()
     stop = leaving.Leaving(now, 2.5, 4.5)
     if stopping:
         stop.ask()
-    app = clients.JobCalls(calls, keeper, now, stop)
+    app = clients.JobApi(calls, keeper, now, stop)
     keeper.offer(5, json.dumps(CONFIG))
     return fixtures.WsgiPool(app), calls, now, keeper
 
@@ -183,9 +183,9 @@
 
 
 def test_entry_without_a_configuration_says_come_back(case):
-    keeper = configuration.ConfigKeeper(routes.parse_config)
+    keeper = configuration.ConfigKeeper(decoding.parse_config)
     stop = leaving.Leaving(clock.ManualClock(), 2.5, 4.5)
-    app = clients.JobCalls(None, keeper, None, stop)
+    app = clients.JobApi(None, keeper, None, stop)
     answer = send(fixtures.WsgiPool(app), 'GET', f'/a/{ID}')
     case.assertEqual(answer.status, 503)
     case.assertIn('Retry-After', answer.headers)
--- a/packages/platform/portwharf/platform/decoding.py
+++ b/packages/platform/portwharf/platform/decoding.py
@@ -1,8 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The operators' configuration, and clients' jobs, in portwharf's types.
-
-A route on the wire is a queue of ours, and its service a pool of workers.
+"""Decodes the operators' configuration and the jobs of clients.
+
+Some names on the wire differ from portwharf's: a ``route`` is a queue, its
+``service`` a pool of workers, its ``maxAttempts`` the failures that a task
+may have. In a job's step, ``watchRev`` is misleading: it lists the numbers of
+the steps that must have succeeded before. ``requires`` is a label of the
+worker, ``affinity`` the rack that holds the data, ``antiAffinity`` the most
+tasks per VM.
 """
 
 import json
@@ -10,12 +15,12 @@
 import result
 
 from portwharf.core import data
-from portwharf.platform import fields
+from portwharf.platform import json_fields
 from portwharf.scheduler import configuration
 from portwharf.scheduler import jobs
 
 CONFIG_KEY = 'op/config'
-# A key for each availability zone that nothing may begin in, after this.
+# Prefix of one key for each availability zone where nothing may be started.
 ZONES_PREFIX = 'op/evacuate/'
 MAX_SPEC_BYTES = 4000
 MAX_STEPS = 64
@@ -23,24 +28,25 @@
 
 
 def parse_config(text, revision):
-    """Read the configuration.
+    """Decode the configuration.
 
+    :param text: JSON, or '' for an empty configuration
     :returns: Ok(configuration.Configuration), or Err(list of Problems)
     """
     try:
         value = json.loads(text) if text else {}
-        routes = fields.read_list(value, 'routes', dict)
-        queues = [_read_queue(route) for route in routes]
+        routes = json_fields.read_list(value, 'routes', dict)
+        queues = [_parse_queue(route) for route in routes]
     except (AttributeError, ValueError, RecursionError) as exc:
         problem = data.Problem(
             'bad-configuration',
             CONFIG_KEY,
             '',
             f'cannot be read: {exc!r}',
-            'write it again, whole',
+            'write the whole configuration again',
         )
         return result.Err([problem])
-    # The longest prefix comes first.
+    # Sorted so that the longest matching prefix is found first.
     queues.sort(key=lambda queue: -len(queue.prefix))
     return result.Ok(
         configuration.Configuration(revision, text, queues=queues)
@@ -48,113 +54,118 @@
 
 
 def find_queue(cfg, host, path):
-    """Return the ``configuration.Queue`` of a request, or None."""
+    """Return the ``configuration.Queue`` for a request, or None."""
     for queue in cfg.queues:
         if queue.host == host and path.startswith(queue.prefix):
             return queue
     return None
 
 
-def read_job(job_id, queue, value):
-    """Return a client's job as a ``data.Job``.
+def parse_job(job_id, queue, value):
+    """Decode a client's job and check it.
 
-    :param value: the body, as JSON gives it
+    :param value: the decoded JSON body
     :returns: Ok(data.Job), or Err(Problem)
     """
     try:
-        job = _read_job(job_id, queue, value)
+        job = _parse_job(job_id, queue, value)
     except (AttributeError, ValueError) as exc:
-        return result.Err(_describe(job_id, '', f'cannot be read: {exc}'))
+        return result.Err(_make_problem(job_id, '', f'cannot be read: {exc}'))
     if len(job.argument) > MAX_SPEC_BYTES:
         text = f'must be at most {MAX_SPEC_BYTES} bytes'
-        return result.Err(_describe(job_id, 'spec', text))
+        return result.Err(_make_problem(job_id, 'spec', text))
     tasks = sum(step.count for step in job.steps)
     if len(job.steps) > MAX_STEPS or tasks > MAX_TASKS:
-        text = f'must be at most {MAX_STEPS} with {MAX_TASKS} tasks'
-        return result.Err(_describe(job_id, 'steps', text))
+        text = f'must be at most {MAX_STEPS} with {MAX_TASKS} tasks in all'
+        return result.Err(_make_problem(job_id, 'steps', text))
     problem = jobs.find_problem(job)
     return result.Ok(job) if problem is None else result.Err(problem)
 
 
-def _read_queue(route):
+def _parse_queue(route):
     return configuration.Queue(
-        fields.read_text(route, 'name', None),
-        fields.read_text(route, 'host', None),
-        fields.read_text(route, 'pathPrefix', None),
-        fields.read_text(route, 'service', None),
-        fields.read_whole(route, 'priority'),
-        fields.read_whole(route, 'maxAttempts'),
-        fields.read_share(route, 'stretch', 1.0),
-        fields.read_whole(route, 'targetLatencyMs'),
-        fields.read_whole(fields.read_map(route, 'advice'), 'valid_ms'),
+        json_fields.read_str(route, 'name', None),
+        json_fields.read_str(route, 'host', None),
+        json_fields.read_str(route, 'pathPrefix', None),
+        json_fields.read_str(route, 'service', None),
+        json_fields.read_int(route, 'priority'),
+        json_fields.read_int(route, 'maxAttempts'),
+        json_fields.read_float(route, 'stretch', 1.0),
+        json_fields.read_int(route, 'targetLatencyMs'),
+        json_fields.read_int(
+            json_fields.read_dict(route, 'advice'), 'valid_ms'
+        ),
     )
 
 
-def _read_job(job_id, queue, value):
-    rows = fields.read_list(value, 'steps', dict, None)
+def _parse_job(job_id, queue, value):
+    rows = json_fields.read_list(value, 'steps', dict, None)
     steps = [
-        _read_step(queue, step, number) for number, step in enumerate(rows)
+        _parse_step(queue, step, number) for number, step in enumerate(rows)
     ]
     chains = jobs.measure_chains(steps)
-    times = fields.read_whole(value, 'maxRuns')
+    max_runs = json_fields.read_int(value, 'maxRuns')
     return data.Job(
         job_id,
         queue.name,
         queue.rank,
-        fields.read_text(value, 'spec').encode(),
+        json_fields.read_str(value, 'spec').encode(),
         steps,
         int(queue.stretch * max(chains, default=0)) + queue.allowance_ms,
-        times,
-        fields.read_whole(value, 'initialMs'),
-        fields.read_whole(value, 'intervalMs'),
+        max_runs,
+        json_fields.read_int(value, 'initialMs'),
+        json_fields.read_int(value, 'intervalMs'),
         queue.stretch,
         queue.allowance_ms,
     )
 
 
-def _read_step(queue, step, number):
-    """Return the workload of a step.
+def _parse_step(queue, step, number):
+    """Return the ``data.Workload`` of a step.
 
-    :param number: how many steps come before it
+    :param number: the step's index in the job
     """
-    lasts = fields.read_flag(step, 'longRunning')
-    image = fields.read_text(step, 'image')
+    long_running = json_fields.read_bool(step, 'longRunning')
+    image = json_fields.read_str(step, 'image')
     return data.Workload(
-        kind=data.Kind.STANDING if lasts else data.Kind.BATCH,
+        kind=data.Kind.STANDING if long_running else data.Kind.BATCH,
         resources=data.Resources(
-            fields.read_whole(step, 'cpu'),
-            fields.read_whole(step, 'memMb'),
-            fields.read_whole(step, 'gpu'),
+            json_fields.read_int(step, 'cpu'),
+            json_fields.read_int(step, 'memMb'),
+            json_fields.read_int(step, 'gpu'),
         ),
-        count=fields.read_whole(step, 'count', 1, None),
-        checkpointable=fields.read_flag(step, 'checkpoints'),
+        count=json_fields.read_int(step, 'count', 1, None),
+        checkpointable=json_fields.read_bool(step, 'checkpoints'),
         program=image,
-        after=_read_after(step, number),
+        after=_parse_dependencies(step, number),
         pool=queue.pool,
-        label=fields.read_text(step, 'requires'),
-        data_rack=fields.read_text(step, 'affinity'),
-        most_per_vm=fields.read_whole(step, 'antiAffinity'),
-        gang=fields.read_flag(step, 'gang'),
-        same_rack=fields.read_flag(step, 'sameRack'),
+        label=json_fields.read_str(step, 'requires'),
+        data_rack=json_fields.read_str(step, 'affinity'),
+        most_per_vm=json_fields.read_int(step, 'antiAffinity'),
+        gang=json_fields.read_bool(step, 'gang'),
+        same_rack=json_fields.read_bool(step, 'sameRack'),
         image=image,
-        target_ms=fields.read_whole(step, 'target_ms'),
-        fills=fields.read_flag(step, 'fills'),
-        most_away=fields.read_whole(step, 'may_miss'),
-        run_ms=fields.read_whole(step, 'estimateMs'),
+        target_ms=json_fields.read_int(step, 'target_ms'),
+        fills=json_fields.read_bool(step, 'fills'),
+        most_away=json_fields.read_int(step, 'may_miss'),
+        run_ms=json_fields.read_int(step, 'estimateMs'),
         max_failures=queue.max_failures,
         ticket_ms=queue.ticket_ms,
     )
 
 
-def _read_after(step, number):
-    """Return the names of the steps before; on the wire their numbers."""
-    after = fields.read_list(step, 'watchRev', int)
+def _parse_dependencies(step, number):
+    """Return the names of the steps that a step depends on.
+
+    A step's name is its index as text. On the wire, steps are numbers.
+    """
+    after = json_fields.read_list(step, 'watchRev', int)
     if not all(0 <= one < number for one in after):
-        raise ValueError(f'"watchRev" of step {number} names no earlier step')
+        raise ValueError(f'"watchRev" of step {number}: not an earlier step')
     return [str(one) for one in after]
 
 
-def _describe(job_id, field, text):
+def _make_problem(job_id, field, text):
     return data.Problem(
         'bad-job', field, '', text, f'mend it and send {job_id} again'
     )
--- a/packages/platform/portwharf/platform/ends.py
+++ b/packages/platform/portwharf/platform/ends.py
@@ -1,44 +1,44 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The numbered ends that one life of the runner lists.
+"""The ended attempts that one life of the runner lists.
 
-Numbers begin at 1 in each life, and ends up to the number that a side
-acknowledges are forgotten. Kept beyond its life, a number would have the
-next life's ends forgotten before anybody has logged them.
+The runner numbers them from 1 in each life, and drops them up to the number
+that the side acknowledges. An acknowledged number is valid in one life only:
+sent to the next life, it would drop ended attempts that are not in the log.
 """
 
 
 class Ends:
-    """Which ends are listed and which may go; the caller's lock guards it.
+    """Tracks listed and logged ended attempts; guarded by the caller's lock.
 
-    :ivar acked: the number up to which all ends may go
+    :ivar acked: the runner may drop all ended attempts up to this number
     """
 
     __slots__ = ('acked', '_listed', '_logged', '_latest')
 
     def __init__(self):
         self.acked = 0
-        # Ended attempts that are still listed, by number, and which of
-        # them may go.
+        # (task, attempt) by number, of listed ended attempts that are not
+        # acknowledged, and the ones that are in the log.
         self._listed = {}
         self._logged = set()
         self._latest = 0
 
     @property
-    def some_listed(self):
-        """Whether there are ends that may not go yet."""
+    def has_listed(self):
+        """Whether ended attempts are listed that are not acknowledged."""
         return bool(self._listed)
 
-    def take_rows(self, rows):
-        """Take the rows of a listing: number, task, run, and more."""
+    def add_rows(self, rows):
+        """Add the rows of a listing: number, task, run, and more."""
         for number, task, run, *_ in rows:
             if number > self.acked:
                 self._listed[number] = (task, run)
-        # A number may have been passed that was logged before it was seen.
+        # An attempt may have been logged before it was listed here.
         self._move_ack()
 
-    def note_latest(self, rows):
-        """Tell whether rows have an end that was not noted before."""
+    def record_latest(self, rows):
+        """Record the highest number; tells whether it is a new one."""
         latest = max((row[0] for row in rows), default=0)
         if latest <= self._latest:
             return False
@@ -46,12 +46,12 @@
         return True
 
     def forget(self, task, attempt):
-        """Let an end go that is in the log."""
+        """Mark an ended attempt as logged, so that it can be dropped."""
         self._logged.add((task, attempt))
         self._move_ack()
 
     def _move_ack(self):
-        """Raise the number up to which all listed ends may go."""
+        """Raise ``acked`` over all listed ended attempts that are logged."""
         for number in sorted(self._listed):
             if self._listed[number] not in self._logged:
                 return
--- a/packages/platform/portwharf/platform/http_client.py
+++ b/packages/platform/portwharf/platform/http_client.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""One client for everything of the platform that speaks HTTP and JSON."""
+"""HTTP clients for the platform's programs, with JSON bodies."""
 
 import dataclasses
 import http.client
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """An answer: its status and the value of its body, {} for none."""
+    """A response: its status and its decoded body, {} if it has none."""
 
     status: int = 0
     value: dict = dataclasses.field(default_factory=dict)
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(slots=True)
 class NoReply:
-    """A call that got no answer.
+    """A request without a usable response.
 
     :param sent: it may have been carried out, or may be later
-    :param refused: nothing listens there
+    :param refused: the connection was refused, as nothing listens there
     """
 
     text: str = ''
@@ -42,7 +42,7 @@
     def __init__(self, endpoint, connections=4):
         """Take a ``settings.Endpoint``.
 
-        :param connections: how many are kept open between calls
+        :param connections: how many idle connections are kept open
         """
         self._pool = urllib3.HTTPConnectionPool(
             endpoint.address,
@@ -59,10 +59,10 @@
         self._pool.close()
 
     def call(self, method, path, seconds, body=None, headers=None):
-        """Make one call.
+        """Send a request and wait for its response.
 
-        :param seconds: how long to wait for the answer
-        :param body: a value for JSON, or None
+        :param seconds: timeout
+        :param body: a value to send as JSON, or None
         :returns: Ok(Reply), or Err(NoReply)
         """
         raw = None if body is None else json.dumps(body)
@@ -85,27 +85,27 @@
 
 
 class Connection:
-    """One connection to an address, which is never renewed by itself.
+    """One connection to an address that never reconnects by itself.
 
-    Whoever uses it knows that all calls go to one process, for as long as
-    it is open. For one thread.
+    All calls reach the same process while it is open. It is used by one
+    thread.
     """
 
     def __init__(self, endpoint):
-        """Take a ``settings.Endpoint``; nothing is opened yet."""
+        """Take a ``settings.Endpoint`` without connecting to it."""
         self._conn = urllib3.connection.HTTPConnection(
             endpoint.address, endpoint.port
         )
 
     @property
     def is_open(self):
-        """Whether it was opened, and the other end has not ended it."""
+        """Whether it was opened and the peer has not closed it."""
         return self._conn.is_connected
 
     def open(self, seconds):
-        """Open it anew.
+        """Close the connection if it is open, and connect.
 
-        :param seconds: how long to wait for that
+        :param seconds: timeout
         :returns: Ok(None), or Err(NoReply)
         """
         self.close()
@@ -120,12 +120,13 @@
         return result.Ok(None)
 
     def close(self):
-        """Close it; a call that was not answered may still be carried out."""
+        """Close it; an unanswered request may still be carried out."""
         self._conn.close()
 
     def call(self, method, path, seconds, body, headers):
-        """Make one call; without an answer the connection is closed.
+        """Send a request; without a response the connection is closed.
 
+        :param seconds: timeout
         :returns: Ok(Reply), or Err(NoReply)
         """
         raw = json.dumps(body)
@@ -145,11 +146,11 @@
 
 
 def _read_reply(response):
-    """Return an answer of the library's as Ok(Reply), or Err(NoReply)."""
+    """Return the library's response as Ok(Reply), or Err(NoReply)."""
     try:
         value = json.loads(response.data) if response.data else {}
     except ValueError as exc:
         if response.status == 200:
-            return result.Err(NoReply(f'not JSON: {exc}', sent=True))
+            return result.Err(NoReply(f'body is not JSON: {exc}', sent=True))
         value = {}
     return result.Ok(Reply(response.status, value))
--- a/packages/platform/portwharf/platform/http_client_test.py
+++ b/packages/platform/portwharf/platform/http_client_test.py
@@ -6,7 +6,7 @@
 import threading
 
 from portwharf.core import settings
-from portwharf.platform import http
+from portwharf.platform import http_client
 from portwharf.testing import fixtures
 from portwharf.testing import platform_store
 from portwharf.testing import relay
@@ -37,7 +37,7 @@
     port = fixtures.serve(case, app, threads=8)
     between = case.enterContext(relay.Relay('127.0.0.1', 0, port))
     place = settings.Endpoint('127.0.0.1', between.port)
-    client = case.enterContext(http.Client(place))
+    client = case.enterContext(http_client.Client(place))
     pool = case.enterContext(concurrent.futures.ThreadPoolExecutor(OPEN))
     case.addCleanup(app.let_go.set)
     return client, between, app, pool
--- a/packages/platform/portwharf/platform/json_fields.py
+++ b/packages/platform/portwharf/platform/json_fields.py
@@ -1,97 +1,100 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Typed fields of JSON maps that somebody else wrote.
+"""Reads typed fields of JSON objects that other programs have written.
 
-What is of another type or out of range is refused where it comes in, and its
-field is named. Taken in, it would end the thread that first compares it; or,
-once it is in the log, each process that reads the log.
+A value of a wrong type or out of range is refused on input, with the name of
+its field. If it got further, it would crash the thread that first uses it
+or, once it is in the log, every process that reads the log.
 """
 
 import math
 
-# JSON numbers beyond this are not exact everywhere.
-MOST_WHOLE = 2**53
+# Larger integers are not exact in every JSON implementation.
+MAX_EXACT_INT = 2**53
 
 
-def read_whole(value, name, least=0, default=0):
-    """Return a whole number; a fraction is cut off.
+def read_int(value, name, minimum=0, default=0):
+    """Return an integer; a fraction is truncated.
 
-    :param default: if the field is left out; None if it must not be
-    :raises ValueError: it is none, or out of range
+    :param default: used if the field is missing; None makes it required
+    :raises ValueError: not a number, or out of range
     """
-    item = _get(value, name, default)
+    item = _get_field(value, name, default)
     number = not isinstance(item, bool) and isinstance(item, int | float)
     if not number or not math.isfinite(item):
-        raise ValueError(f'"{name}" is {_show(item)} and not a number')
-    if not least <= item <= MOST_WHOLE:
-        raise ValueError(f'"{name}" is {item}, not {least} to {MOST_WHOLE}')
+        raise ValueError(f'"{name}" is {_format(item)}, not a number')
+    if not minimum <= item <= MAX_EXACT_INT:
+        raise ValueError(
+            f'"{name}" is {item}, not {minimum} to {MAX_EXACT_INT}'
+        )
     return int(item)
 
 
-def read_share(value, name, default):
-    """Return a number of 0 or more, that may be a fraction.
+def read_float(value, name, default):
+    """Return a number that is not negative, as a float.
 
-    :raises ValueError: it is none
+    :raises ValueError: not a number, or negative
     """
-    item = _get(value, name, default)
+    item = _get_field(value, name, default)
     number = not isinstance(item, bool) and isinstance(item, int | float)
     if not number or not math.isfinite(item) or item < 0:
-        raise ValueError(f'"{name}" is {_show(item)} and not 0 or more')
+        raise ValueError(f'"{name}" is {_format(item)}, not a number >= 0')
     return float(item)
 
 
-def read_text(value, name, default=''):
-    """Return a text; None as ``default`` has it asked for.
+def read_str(value, name, default=''):
+    """Return a string.
 
-    :raises ValueError: it is none, or cannot be written as UTF-8
+    :param default: used if the field is missing; None makes it required
+    :raises ValueError: not a string, or not encodable as UTF-8
     """
-    item = _get(value, name, default)
+    item = _get_field(value, name, default)
     if not isinstance(item, str):
-        raise ValueError(f'"{name}" is {_show(item)} and not a text')
+        raise ValueError(f'"{name}" is {_format(item)}, not a string')
     item.encode()
     return item
 
 
-def read_flag(value, name):
-    """Return whether a field is true; left out it is not.
+def read_bool(value, name):
+    """Return a boolean, False if the field is missing.
 
-    :raises ValueError: it is neither true nor false
+    :raises ValueError: not a boolean
     """
-    item = _get(value, name, False)
+    item = _get_field(value, name, False)
     if not isinstance(item, bool):
-        raise ValueError(f'"{name}" is {_show(item)}, not true or false')
+        raise ValueError(f'"{name}" is {_format(item)}, not true or false')
     return item
 
 
-def read_map(value, name):
-    """Return a map, an empty one if it is left out.
+def read_dict(value, name):
+    """Return an object as a dict, empty if the field is missing.
 
-    :raises ValueError: it is none
+    :raises ValueError: not an object
     """
-    item = _get(value, name, {})
+    item = _get_field(value, name, {})
     if not isinstance(item, dict):
-        raise ValueError(f'"{name}" is {_show(item)} and not a map')
+        raise ValueError(f'"{name}" is {_format(item)}, not an object')
     return item
 
 
 def read_list(value, name, cls, default=()):
-    """Return a list whose items are of one type.
+    """Return a list whose items are all of type ``cls``.
 
-    :param default: if the field is left out; None if it must not be
-    :raises ValueError: it is none, or an item is of another type
+    :param default: used if the field is missing; None makes it required
+    :raises ValueError: not a list, or an item of another type
     """
-    items = _get(value, name, default)
+    items = _get_field(value, name, default)
     if not isinstance(items, list | tuple):
-        raise ValueError(f'"{name}" is {_show(items)} and not a list')
+        raise ValueError(f'"{name}" is {_format(items)}, not a list')
     for item in items:
         if not isinstance(item, cls) or isinstance(item, bool):
-            text = f'"{name}" has {_show(item)}, not a {cls.__name__}'
+            text = f'"{name}" has {_format(item)}, not a {cls.__name__}'
             raise ValueError(text)
     return list(items)
 
 
-def _get(value, name, default):
-    """Return a field; one that is null counts as left out."""
+def _get_field(value, name, default):
+    """Return a field; null counts as missing."""
     item = value.get(name)
     if item is None:
         item = default
@@ -100,6 +103,6 @@
     return item
 
 
-def _show(item):
-    """Return a value for people, cut short."""
+def _format(item):
+    """Return a value's representation, truncated for an error message."""
     return f'{item!r:.40}'
--- a/packages/platform/portwharf/platform/kv.py
+++ b/packages/platform/portwharf/platform/kv.py
@@ -1,10 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's store as portwharf's own ``store.LeaseStore``.
+"""A client of the platform's store, as a ``store.LeaseStore``.
 
-Some names on the wire mislead: ``privateKey`` is any key, ``pathPrefix`` a
-prefix of keys, and ``watchRev`` is the revision that a watch begins after,
-but of a range the key that a page begins with.
+Some names on the wire are misleading. ``privateKey`` is the name of any key,
+``pathPrefix`` the prefix of key names. ``watchRev`` is the revision after
+which a watch begins, but in a range request the key that the page begins
+with.
 """
 
 import base64
@@ -13,36 +14,36 @@
 
 import result
 
-from portwharf.platform import http
+from portwharf.platform import http_client
 from portwharf import store
 
-# The slowest answers that were seen took 0.4 s; one that is lost costs all.
+# A lost response costs its caller all of this time.
 CALL_SECONDS = 0.8
-# A watch that was cut silently is noticed within this and CALL_SECONDS; the
-# configuration has to be read again before the users' 3 s are over.
+# A watch's lost connection is noticed within this plus CALL_SECONDS. The
+# configuration must be read again within the platform's limit of 3 s.
 WATCH_SECONDS = 1.5
-# The longest that a watch may wait, by the platform's protocol.
+# The longest wait that the platform's protocol allows.
 MAX_WATCH_SECONDS = 30.0
-# Entries that one transaction takes.
-MAX_ENTRIES = 32
+# Entries per transaction.
+MAX_TRANSACTION_ENTRIES = 32
 _OK = 200
 _NOT_FOUND = 404
 _CONFLICT = 412
 _HISTORY_GONE = 410
-# Answers that say that nothing was done.
+# Statuses that guarantee that nothing was changed.
 _NOT_DONE = (400, 403, 404, 429, 503)
 _MS = 1000
 
 
 class PlatformStore(store.LeaseStore):
-    """A client of the store; a context manager that closes it."""
+    """A client of the store; a context manager that closes connections."""
 
     def __init__(self, endpoint):
         """Take the store's ``settings.Endpoint``."""
-        self._client = http.Client(endpoint)
-        # The store's revision at the last look at a key, by key: where a
-        # watch goes on, as history before it may be gone.
-        self._looked = {}
+        self._client = http_client.Client(endpoint)
+        # The store's revision when a key was last read, by key. Watches
+        # begin there, as older history may have been dropped.
+        self._last_revisions = {}
 
     def __enter__(self):
         return self
@@ -51,12 +52,12 @@
         self._client.__exit__(*exc_info)
 
     def read(self, key):
-        path = '/portwharf/kv-key?' + _quote(privateKey=key)
+        path = '/portwharf/kv-key?' + _encode_query(privateKey=key)
         reply = self._call('GET', path, _OK, _NOT_FOUND)
         if reply.is_err():
             return reply
         value = reply.ok_value.value
-        self._looked[key] = value.get('at', 0)
+        self._last_revisions[key] = value.get('at', 0)
         if reply.ok_value.status == _NOT_FOUND:
             return result.Ok(None)
         return result.Ok(_read_entry(value))
@@ -64,17 +65,17 @@
     def read_range(self, first, last, limit=0, keys_only=False):
         prefix = os.path.commonprefix([first, last])
         found = []
-        query = _quote(pathPrefix=prefix)
+        query = _encode_query(pathPrefix=prefix)
         while True:
             reply = self._call('GET', f'/portwharf/kv-range?{query}', _OK)
             if reply.is_err():
                 return reply
             items = reply.ok_value.value['items']
-            # A page may begin with the item that the last one ended with.
-            known = found[-1].key if found else ''
+            # A page may begin with the last item of the page before.
+            last_key = found[-1].key if found else ''
             for item in items:
                 key = item['privateKey']
-                if first <= key < last and key != known:
+                if first <= key < last and key != last_key:
                     found.append(_read_entry(item))
             more = reply.ok_value.value.get('more') and items
             if not more or (limit and len(found) >= limit):
@@ -82,32 +83,36 @@
             if items[-1]['privateKey'] >= last:
                 return result.Ok(found)
             start = items[-1]['privateKey']
-            query = _quote(pathPrefix=prefix, watchRev=start)
+            query = _encode_query(pathPrefix=prefix, watchRev=start)
 
     def swap(self, key, value, revision, guard=None):
         expected = [{'privateKey': key, 'rev': revision}]
         if guard is not None:
             expected.append({'privateKey': guard.key, 'rev': guard.revision})
-        return self._change(expected, [_write_item(key, value, 0)], [])
+        return self._commit(expected, [_make_item(key, value, 0)], [])
 
     def put(self, key, value, lease):
-        return self._change([], [_write_item(key, value, lease)], [])
+        return self._commit([], [_make_item(key, value, lease)], [])
 
     def delete_range(self, first, last):
         listed = self.read_range(first, last, keys_only=True)
         if listed.is_err():
             return listed
         keys = [entry.key for entry in listed.ok_value]
-        for at in range(0, len(keys), MAX_ENTRIES):
-            done = self._change([], [], keys[at : at + MAX_ENTRIES])
+        for index in range(0, len(keys), MAX_TRANSACTION_ENTRIES):
+            done = self._commit(
+                [], [], keys[index : index + MAX_TRANSACTION_ENTRIES]
+            )
             if done.is_err():
                 return done
         return result.Ok(len(keys))
 
     def wait_for_change(self, key, revision, timeout):
         wait = min(timeout, WATCH_SECONDS)
-        after = max(revision, self._looked.get(key, 0))
-        query = _quote(pathPrefix=key, watchRev=after, waitMs=int(wait * _MS))
+        after = max(revision, self._last_revisions.get(key, 0))
+        query = _encode_query(
+            pathPrefix=key, watchRev=after, waitMs=int(wait * _MS)
+        )
         reply = self._call(
             'GET',
             f'/portwharf/kv-watch?{query}',
@@ -120,7 +125,7 @@
         if reply.ok_value.status == _HISTORY_GONE:
             return result.Ok(None)
         value = reply.ok_value.value
-        self._looked[key] = max(after, value.get('at', 0))
+        self._last_revisions[key] = max(after, value.get('at', 0))
         entries = [
             _read_entry(event)
             for event in value['events']
@@ -129,25 +134,25 @@
         return result.Ok(entries[-1] if entries else None)
 
     def list_names(self, prefix):
-        query = _quote(pathPrefix=prefix)
+        query = _encode_query(pathPrefix=prefix)
         names = store.Names()
         while True:
             reply = self._call('GET', f'/portwharf/kv-range?{query}', _OK)
             if reply.is_err():
                 return reply
             value = reply.ok_value.value
-            # Pages are no snapshot: what changed since the first is seen
-            # by a watch after that.
+            # The pages are not one snapshot. A watch from the first page's
+            # revision covers all later changes.
             names.revision = names.revision or value['at']
             found = [item['privateKey'] for item in value['items']]
             names.keys += [key for key in found if key not in names.keys]
             if not (value.get('more') and found):
                 return result.Ok(names)
-            query = _quote(pathPrefix=prefix, watchRev=found[-1])
+            query = _encode_query(pathPrefix=prefix, watchRev=found[-1])
 
     def wait_for_names(self, prefix, revision, timeout):
         wait = min(timeout, MAX_WATCH_SECONDS)
-        query = _quote(
+        query = _encode_query(
             pathPrefix=prefix, watchRev=revision, waitMs=int(wait * _MS)
         )
         reply = self._call(
@@ -175,9 +180,12 @@
         reply = self._call('POST', path, _OK, _NOT_FOUND)
         return reply.map(lambda found: found.status == _OK)
 
-    def _change(self, expected, puts, removals):
-        """Make a transaction.
+    def _commit(self, expected, puts, removals):
+        """Commit a transaction.
 
+        :param expected: the revision that each of some keys must have
+        :param puts: items to write
+        :param removals: names of the keys to delete
         :returns: Ok(Swap), or Err(StoreError)
         """
         body = {'expectedRev': expected, 'put': puts, 'remove': removals}
@@ -187,7 +195,7 @@
             _OK,
             _CONFLICT,
             body=body,
-            changes=True,
+            mutates=True,
         )
         if reply.is_err():
             return reply
@@ -201,31 +209,33 @@
         path,
         *expected,
         body=None,
-        changes=False,
+        mutates=False,
         seconds=CALL_SECONDS,
     ):
-        """Make a call whose answer has one of some statuses.
+        """Send a request.
 
-        :param changes: the call may take effect without an answer
-        :returns: Ok(http.Reply), or Err(StoreError)
+        :param expected: the statuses that are returned; any other one is an
+            error
+        :param mutates: the request may take effect without a response
+        :returns: Ok(http_client.Reply), or Err(StoreError)
         """
         reply = self._client.call(method, path, seconds, body)
         if reply.is_err():
-            lost = reply.err_value
-            unknown = changes and lost.sent
-            return result.Err(store.StoreError(lost.text, unknown))
+            no_reply = reply.err_value
+            unknown = mutates and no_reply.sent
+            return result.Err(store.StoreError(no_reply.text, unknown))
         status = reply.ok_value.status
         if status in expected:
             return reply
-        unknown = changes and status not in _NOT_DONE
+        unknown = mutates and status not in _NOT_DONE
         return result.Err(store.StoreError(f'HTTP status {status}', unknown))
 
 
-def _quote(**values):
+def _encode_query(**values):
     return urllib.parse.urlencode(values)
 
 
-def _write_item(key, value, lease):
+def _make_item(key, value, lease):
     item = {'privateKey': key, 'value': base64.b64encode(value).decode()}
     if lease:
         item['lease'] = lease
@@ -240,12 +250,12 @@
     )
 
 
-def open_shared(settings, now):
-    """Return the platform's store within this process's share of calls.
+def open_budgeted_store(settings, clock):
+    """Return the platform's store, limited to this process's call rate.
 
-    :param settings: a ``boot.Boot``
-    :param now: a clock
+    :param settings: a ``boot.BootSettings``
+    :param clock: a clock
     """
     inner = PlatformStore(settings.store)
     rate = settings.store_calls
-    return store.BudgetedStore(inner, now, rate, 2 * rate)
+    return store.BudgetedStore(inner, clock, rate, 2 * rate)
--- a/packages/platform/portwharf/platform/line.py
+++ b/packages/platform/portwharf/platform/line.py
@@ -1,60 +1,67 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A connection to the runner on which it has said which life it is.
-
-An order names a life by its id, which the next life may have as well. What
-it carries means something to one life alone: the numbers of ends that may
-go, a time on the runner's clock, a task that the owner knows to be there. A
-connection is to one process until it ends. So a new one begins with a look
-that carries none of this, and by its answer everything that follows on it
-reaches the life that is meant, or nobody: also what is carried out late.
+"""A connection to one life of the runner, and the side's fencing tokens.
+
+A life is one run of the runner's process, from its start to its exit or
+crash. An order names a life by its instance id only, and the next life may
+have the same id. But an order's content is valid for a single life: the
+highest end number that is acknowledged, a time on the runner's clock, a task
+that the owner knows to run there. A TCP connection leads to one process
+until it closes. So each new connection begins with a request that carries
+nothing valid for one life only, and the response identifies the life at the
+other end. Every later order on the connection reaches that life or none,
+also when it is carried out late.
 """
 
 import result
 
 from portwharf.core import data
 from portwharf.platform import beats
-from portwharf.platform import http
+from portwharf.platform import http_client
 
-HOLD = '/portwharf/hold'
+HOLD_PATH = '/portwharf/hold'
 # A runner answers within a millisecond; one that leaves an order
-# unanswered must not hold up the others for long.
+# unanswered must not delay the other orders for long.
 CALL_SECONDS = 0.4
-# Tokens that a side has for the lives of its runner, one after the other.
-# A store's revisions times this stay whole numbers in JSON (2^53).
-LIVES_A_TOKEN = 1024
+# A side's own token, a revision of the store, is multiplied by this, so that
+# each life of its runner gets a higher token. The product stays an exact JSON
+# integer (below 2^53).
+LIVES_PER_TOKEN = 1024
 _OK = 200
-# The call was meant for another id.
-_OTHER_ID = 421
+# 421 Misdirected Request: the order named another instance id.
+_MISDIRECTED = 421
 
 
 class Fence:
-    """The fencing tokens of one side, higher for each life of its runner.
+    """The fencing tokens of one side, increasing with each runner life.
 
-    A runner may carry an order out seconds late. Should one that was sent to
-    a former life be carried out by the next one, which has the same id, it
-    is refused for its token once this side has been heard there.
+    A runner may carry an order out seconds late. If an order for a former
+    life is carried out by the next life, which has the same id, that life
+    refuses the lower token once it has seen a token of this side for itself.
     """
 
-    __slots__ = ('_read_token', '_lives')
+    __slots__ = ('_read_token', '_life_count')
 
     def __init__(self, read_token):
-        """Take what gives the side's own token, 0 if it has none yet."""
+        """Set up the tokens.
+
+        :param read_token: returns the side's own token, 0 if it has none yet
+        """
         self._read_token = read_token
-        self._lives = 0
+        self._life_count = 0
 
     def read(self):
-        """Return the token for the life in use, or 0."""
+        """Return the token for the current life, or 0."""
         token = self._read_token()
-        return token * LIVES_A_TOKEN + self._lives if token else 0
+        return token * LIVES_PER_TOKEN + self._life_count if token else 0
 
     def rise(self):
-        """Take the next token, for a life that begins to be used."""
-        self._lives = min(self._lives + 1, LIVES_A_TOKEN - 1)
+        """Move on to the next token, for a life that becomes current."""
+        self._life_count = min(self._life_count + 1, LIVES_PER_TOKEN - 1)
 
 
 class Line:
-    """One connection to the runner; for one thread.
+    """One connection to the runner, used by one thread.
 
     :ivar life: the ``data.LifeId`` at the other end, or None
     """
@@ -62,81 +69,88 @@
     __slots__ = ('life', '_conn', '_read_token')
 
     def __init__(self, endpoint, read_token):
-        """Take the runner's ``settings.Endpoint``.
+        """Prepare the connection without opening it.
 
-        :param read_token: gives the fencing token, 0 if there is none yet
+        :param endpoint: the runner's ``settings.Endpoint``
+        :param read_token: returns the fencing token, 0 if there is none yet
         """
         self.life = None
-        self._conn = http.Connection(endpoint)
+        self._conn = http_client.Connection(endpoint)
         self._read_token = read_token
 
     def close(self):
-        """Close the connection; nobody is at its other end."""
+        """Close the connection and forget the life at its other end."""
         self._conn.close()
         self.life = None
 
     def reach(self, instances):
-        """Make sure that a known life is at the other end.
+        """Ensure that the connection leads to a known life.
 
-        :param instances: ids that it may have, likeliest first; '' asks
-            without one, and then nobody knows which it has
-        :returns: Ok(data.LifeId), or Err(http.NoReply)
+        :param instances: instance ids to try, most likely first; '' sends
+            no id, and the life that answers has an unknown one
+        :returns: Ok(data.LifeId), or Err(http_client.NoReply)
         """
         if not self._conn.is_open:
             self.life = None
-        unnamed = self.life is not None and not self.life.instance
-        if self.life is not None and not (unnamed and any(instances)):
+        unidentified = self.life is not None and not self.life.instance
+        if self.life is not None and not (unidentified and any(instances)):
             return result.Ok(self.life)
         if not self._read_token():
-            return result.Err(http.NoReply('no fencing token yet'))
+            return result.Err(http_client.NoReply('no fencing token yet'))
         if not self._conn.is_open:
             opened = self._conn.open(CALL_SECONDS)
             if opened.is_err():
                 return opened
-        return self._ask(instances)
+        return self._identify_life(instances)
 
     def order(self, path, body, seconds=CALL_SECONDS):
         """Send an order to the life at the other end.
 
-        :returns: Ok(http.Reply), or Err(http.NoReply)
+        The connection is closed if another life answers, or none.
+
+        :returns: Ok(http_client.Reply), or Err(http_client.NoReply)
         """
         answer = self._send(self.life.instance, path, body, seconds)
         if answer.is_ok():
-            answer = self._check_same(answer.ok_value)
-        if answer.is_err() or answer.ok_value.status == _OTHER_ID:
+            answer = self._check_life(answer.ok_value)
+        if answer.is_err() or answer.ok_value.status == _MISDIRECTED:
             self.close()
         return answer
 
-    def _ask(self, instances):
-        """Find out which of some ids the other end has, and its birth."""
+    def _identify_life(self, instances):
+        """Find out which instance id the runner has, and its birth time."""
         for instance in instances:
-            answer = self._send(instance, HOLD, {'ackedUpto': 0}, CALL_SECONDS)
+            answer = self._send(
+                instance, HOLD_PATH, {'ackedUpto': 0}, CALL_SECONDS
+            )
             if answer.is_err():
                 return answer
             reply = answer.ok_value
             if reply.status == _OK:
-                return self._take_birth(instance, reply.value)
-            if reply.status != _OTHER_ID:
+                return self._record_life(instance, reply.value)
+            if reply.status != _MISDIRECTED:
                 break
-        return result.Err(http.NoReply(f'HTTP status {reply.status}'))
+        return result.Err(http_client.NoReply(f'HTTP status {reply.status}'))
 
-    def _take_birth(self, instance, value):
-        """Take the answer of a life that has just been reached."""
+    def _record_life(self, instance, value):
+        """Record the life that answered the first request."""
         try:
             self.life = data.LifeId(instance, beats.read_birth(value))
         except ValueError as exc:
-            return result.Err(http.NoReply(str(exc)))
+            return result.Err(http_client.NoReply(str(exc)))
         return result.Ok(self.life)
 
-    def _check_same(self, reply):
-        """Return an answer as Ok, if it is not another life's.
+    def _check_life(self, reply):
+        """Return Ok(reply) unless another life sent it.
 
-        Lists say it. It would be a runner that has begun anew and kept its
-        connections.
+        Replies with lists carry the birth time. It differs if a restarted
+        runner has kept its connections.
         """
         born_ms = reply.value.get('born', self.life.born_ms)
         if born_ms != self.life.born_ms:
-            return result.Err(http.NoReply('another life answers', sent=True))
+            return result.Err(
+                http_client.NoReply('another life replied', sent=True)
+            )
         return result.Ok(reply)
 
     def _send(self, instance, path, body, seconds):
--- a/packages/platform/portwharf/platform/malformed_input_test.py
+++ b/packages/platform/portwharf/platform/malformed_input_test.py
@@ -17,9 +17,9 @@
 from portwharf.core import codec
 from portwharf.core import data
 from portwharf.platform import beats
-from portwharf.platform import fields
-from portwharf.platform import lists
-from portwharf.platform import routes
+from portwharf.platform import decoding
+from portwharf.platform import json_fields
+from portwharf.platform import runner_lists
 from portwharf.scheduler import configuration
 from portwharf.testing import fixtures
 from portwharf import workers
@@ -141,11 +141,11 @@
 
 
 def test_job_is_refused_or_can_be_logged(case):
-    case.assertTrue(routes.read_job(JOB_ID, QUEUE, JOB).is_ok())
+    case.assertTrue(decoding.parse_job(JOB_ID, QUEUE, JOB).is_ok())
 
     @for_odd(JOB)
     def check(value):
-        read = routes.read_job(JOB_ID, QUEUE, value)
+        read = decoding.parse_job(JOB_ID, QUEUE, value)
         if read.is_err():
             case.assertTrue(read.err_value.describe())
             return
@@ -157,11 +157,11 @@
 
 def test_configuration_is_refused_or_taken_whole(case):
     text = json.dumps(CONFIG)
-    case.assertEqual(len(routes.parse_config(text, 1).ok_value.queues), 1)
+    case.assertEqual(len(decoding.parse_config(text, 1).ok_value.queues), 1)
 
     @for_odd(CONFIG)
     def check(value):
-        read = routes.parse_config(json.dumps(value), 1)
+        read = decoding.parse_config(json.dumps(value), 1)
         if read.is_ok():
             for queue in read.ok_value.queues:
                 case.assertIsInstance(queue.prefix, str)
@@ -172,7 +172,7 @@
 
 def test_heartbeat_is_refused_or_taken(case):
     taken = []
-    pool = fixtures.WsgiPool(beats.Beats(taken.append))
+    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(taken.append))
     path = '/portwharf/instances/i-7/heartbeat'
 
     @for_odd(BEAT)
@@ -192,12 +192,12 @@
 
 
 def test_list_is_refused_or_has_its_types(case):
-    lists.check_lists(LISTS)
+    runner_lists.check_lists(LISTS)
 
     @for_odd(LISTS)
     def check(value):
         try:
-            lists.check_lists(value)
+            runner_lists.check_lists(value)
         except (ValueError, AttributeError):
             return
         for task, run, saved, *_ in value['running']:
@@ -212,17 +212,17 @@
 
 def test_refusal_names_the_field(case):
     odd = {**JOB, 'steps': [{**STEP, 'requires': 5}]}
-    problem = routes.read_job(JOB_ID, QUEUE, odd).err_value
-    case.assertIn('"requires" is 5 and not a text', problem.describe())
+    problem = decoding.parse_job(JOB_ID, QUEUE, odd).err_value
+    case.assertIn('"requires" is 5, not a string', problem.describe())
     odd = {**JOB, 'steps': [{**STEP, 'watchRev': [3]}]}
-    problem = routes.read_job(JOB_ID, QUEUE, odd).err_value
+    problem = decoding.parse_job(JOB_ID, QUEUE, odd).err_value
     case.assertIn('"watchRev"', problem.describe())
 
 
 def test_what_is_left_out_has_its_default(case):
-    case.assertEqual(fields.read_whole({}, 'a'), 0)
-    case.assertEqual(fields.read_whole({'a': None}, 'a', 0, 7), 7)
-    case.assertEqual(fields.read_text({}, 'a'), '')
-    case.assertEqual(fields.read_list({}, 'a', int), [])
+    case.assertEqual(json_fields.read_int({}, 'a'), 0)
+    case.assertEqual(json_fields.read_int({'a': None}, 'a', 0, 7), 7)
+    case.assertEqual(json_fields.read_str({}, 'a'), '')
+    case.assertEqual(json_fields.read_list({}, 'a', int), [])
     with case.assertRaises(ValueError):
-        fields.read_text({}, 'a', None)
+        json_fields.read_str({}, 'a', None)
--- a/packages/platform/portwharf/platform/metrics.py
+++ b/packages/platform/portwharf/platform/metrics.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The metrics of what the platform's other programs say to us."""
+"""Metrics of messages from the platform's other programs."""
 
 import prometheus_client
 
--- a/packages/platform/portwharf/platform/programs.py
+++ b/packages/platform/portwharf/platform/programs.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The two programs as the platform runs them: entry and side."""
+"""The entry and side programs for the users' platform."""
 
 import contextlib
 import logging
@@ -16,8 +16,8 @@
 from portwharf.core import web
 from portwharf.entry import leaving
 from portwharf.platform import boot
+from portwharf.platform import decoding
 from portwharf.platform import kv
-from portwharf.platform import routes
 from portwharf.scheduler import configuration
 from portwharf import vmlist
 
@@ -25,24 +25,25 @@
 
 EXIT_BAD_SETTINGS = 2
 CLIENT_THREADS = 24
-# Appends are this far apart: four times what the store takes for one.
+# Time between two appends to the log: several times what the store needs.
 APPEND_SECONDS = 0.03
-# The balancer asks each second, and passes over what missed twice.
-AWAY_SECONDS = 2.5
-# Before the platform kills us: all calls are answered, and our end.
+# The balancer checks each second, and skips an entry after two failures.
+BALANCER_NOTICE_SECONDS = 2.5
+# Time before the platform kills the process, by which all calls are answered,
+# and by which the process exits.
 ANSWER_MARGIN_SECONDS = 1.5
 END_MARGIN_SECONDS = 0.5
-# Connections on which no call came for so long are closed at a stop.
-IDLE_SECONDS = 1.0
-# For the last lines of the log to be printed.
-LAST_LINES_SECONDS = 0.2
+# During a stop, connections that have been idle for so long are closed.
+IDLE_CONNECTION_SECONDS = 1.0
+# For the last lines of the log to be written.
+LOG_FLUSH_SECONDS = 0.2
 
 
 class EntryProgram:
-    """An entry for the platform's clients, while in its block."""
+    """An entry for the platform's clients; a context manager that stops it."""
 
     def __init__(self, settings):
-        """Take a ``boot.Boot``."""
+        """Take a ``boot.BootSettings``."""
         self._boot = settings
         self._stack = contextlib.ExitStack()
         self._stopping = threading.Event()
@@ -51,37 +52,39 @@
             0.0, settings.grace_seconds - ANSWER_MARGIN_SECONDS
         )
         self._leaving = leaving.Leaving(
-            self._clock, AWAY_SECONDS, answer_seconds
+            self._clock, BALANCER_NOTICE_SECONDS, answer_seconds
         )
-        self._keeper = configuration.ConfigKeeper(routes.parse_config)
+        self._keeper = configuration.ConfigKeeper(decoding.parse_config)
         self._instance = ids.make_nonce()
 
     def __enter__(self):
         with self._stack:
-            self._start_parts()
+            self._start_components()
             self._stack = self._stack.pop_all()
         return self
 
     def __exit__(self, *exc_info):
-        LOG.info('entry is asked to stop')
-        self._door.drain(IDLE_SECONDS)
+        LOG.info('entry stopping')
+        self._client_server.drain(IDLE_CONNECTION_SECONDS)
         self._leaving.wait_until_over()
-        # Nothing else is closed: the process ends.
-        whole = self._door.finish(ANSWER_MARGIN_SECONDS - END_MARGIN_SECONDS)
-        if not whole:
-            LOG.warning('entry ends with calls that were not answered')
+        # The other components end with the process.
+        all_answered = self._client_server.finish(
+            ANSWER_MARGIN_SECONDS - END_MARGIN_SECONDS
+        )
+        if not all_answered:
+            LOG.warning('entry stopped with unanswered calls')
 
     def stop(self):
-        """Ask for a planned stop; safe in a signal handler."""
+        """Request a planned stop; safe in a signal handler."""
         self._leaving.ask()
         self._stopping.set()
 
     def wait(self):
-        """Wait until a planned stop is asked for."""
+        """Wait until a planned stop is requested."""
         stops.wait_until_asked(self._stopping)
 
-    def _start_parts(self):
-        # A side never needs what an entry imports.
+    def _start_components(self):
+        # Imported here, as a side does not need these modules.
         from portwharf.entry import fewsides
         from portwharf.entry import owners
         from portwharf.entry import sides
@@ -89,11 +92,11 @@
         from portwharf.platform import clients
 
         enter = self._stack.enter_context
-        shared = enter(kv.open_shared(self._boot, self._clock))
+        shared = enter(kv.open_budgeted_store(self._boot, self._clock))
         listing = enter(vmlist.Registration(shared, self._boot.vm))
         enter(
             configuration.ConfigWatcher(
-                shared, self._keeper, routes.CONFIG_KEY
+                shared, self._keeper, decoding.CONFIG_KEY
             )
         )
         self._links = enter(
@@ -107,25 +110,25 @@
             )
         )
         calls = owners.OwnerCalls(self._links, self._clock)
-        jobs = clients.JobCalls(
-            calls, self._keeper, self._clock, self._leaving
-        )
-        ready = clients.Readiness(self._is_ready)
+        jobs = clients.JobApi(calls, self._keeper, self._clock, self._leaving)
+        ready = clients.ReadinessCheck(self._is_ready)
         pages = web.Pages(self._is_ready)
         vm = self._boot.vm
-        self._door = self._serve(self._boot.clients, jobs, CLIENT_THREADS)
+        self._client_server = self._serve(
+            self._boot.clients, jobs, CLIENT_THREADS
+        )
         self._serve(self._boot.readiness, ready, 2)
         enter(web.Server(vm.address, self._boot.pages_port, pages, 1))
-        LOG.info('entry begins', extra=logs.fields(vm=vm.name))
+        LOG.info('entry started', extra=logs.fields(vm=vm.name))
 
-    def _serve(self, place, app, threads):
-        server = web.Server(place.address, place.port, app, threads)
+    def _serve(self, endpoint, app, threads):
+        server = web.Server(endpoint.address, endpoint.port, app, threads)
         return self._stack.enter_context(server)
 
     def _is_ready(self):
         has_config = self._keeper.read().revision > 0
-        linked = any(link.view.up for link in self._links.list_links())
-        return has_config and linked and not self._stopping.is_set()
+        has_link = any(link.view.up for link in self._links.list_links())
+        return has_config and has_link and not self._stopping.is_set()
 
     def _make_hello(self):
         from portwharf.peers import messages
@@ -136,8 +139,8 @@
 
 
 def make_side(settings):
-    """Return the side's process, put together for the platform."""
-    from portwharf.platform import beside
+    """Return the side's process, configured for the platform."""
+    from portwharf.platform import side_environment
     from portwharf.side import process
     from portwharf.side import settings as side_settings
 
@@ -147,12 +150,14 @@
         limits=boot.make_limits(settings),
         append_interval=APPEND_SECONDS,
     )
-    return process.SideProcess(cfg, beside.PlatformOutside(settings))
+    return process.SideProcess(
+        cfg, side_environment.PlatformEnvironment(settings)
+    )
 
 
-def _note_change(*_):
-    """Log that the settings have changed: they are read at the start."""
-    LOG.info('settings changed; they count from the next start on')
+def _log_settings_change(*_):
+    """Log a change of the settings, which are read at the start only."""
+    LOG.info('settings changed; restart to apply them')
 
 
 def main(role):
@@ -160,29 +165,29 @@
 
     :param role: ``entry`` or ``side``
     """
-    read = boot.read_boot()
-    if read.is_err():
-        for problem in read.err_value:
+    loaded = boot.read_settings()
+    if loaded.is_err():
+        for problem in loaded.err_value:
             print(problem.describe(), file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
     printer = logs.Printer(sys.stdout)
     logs.set_up('json', 'INFO', printer)
     logs.end_on_crash()
     make = EntryProgram if role == 'entry' else make_side
-    program = make(read.ok_value)
-    bound = max(0.0, read.ok_value.grace_seconds - END_MARGIN_SECONDS)
+    program = make(loaded.ok_value)
+    stop_seconds = max(0.0, loaded.ok_value.grace_seconds - END_MARGIN_SECONDS)
 
-    def ask(*_):
+    def request_stop(*_):
         program.stop()
-        stops.end_within(bound)
+        stops.end_within(stop_seconds)
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, ask)
-    signal.signal(signal.SIGHUP, _note_change)
+        signal.signal(number, request_stop)
+    signal.signal(signal.SIGHUP, _log_settings_change)
     with program:
         program.wait()
-    LOG.info('%s ends', role)
+    LOG.info('%s stopped', role)
     logging.shutdown()
-    printer.wait_until_printed(LAST_LINES_SECONDS)
-    # Threads that wait for a silent peer would hold the end up.
+    printer.wait_until_printed(LOG_FLUSH_SECONDS)
+    # Threads that wait for a silent peer would delay the exit.
     os._exit(0)
--- a/packages/platform/portwharf/platform/programs_test.py
+++ b/packages/platform/portwharf/platform/programs_test.py
@@ -38,7 +38,7 @@
 # Answers are due half a second after a stop was asked for.
 GRACE_SECONDS = 2
 LIMIT_SECONDS = 20
-BEGUN = (b'in force', b'entry begins')
+STARTED = (b'in force', b'entry started')
 
 
 def find_port():
@@ -78,7 +78,7 @@
     env = {**os.environ, 'PORTWHARF_BOOT': str(folder / 'entry.toml')}
     with subprocess.Popen(argv, env=env, stdout=subprocess.PIPE) as program:
         try:
-            wait_for_lines(program, BEGUN)
+            wait_for_lines(program, STARTED)
             yield program, port
         finally:
             program.kill()
--- a/packages/platform/portwharf/platform/rebirth_test.py
+++ b/packages/platform/portwharf/platform/rebirth_test.py
@@ -29,7 +29,7 @@
 
 from portwharf.core import data
 from portwharf.platform import beats
-from portwharf.platform import http
+from portwharf.platform import http_client
 from portwharf.platform import runner
 from portwharf.testing import platform_runner
 from portwharf import workers
@@ -57,7 +57,7 @@
 
     def hear_late(self, body, instance='i-1'):
         """Have the side hear a heartbeat that was made before."""
-        self.client.take_life(beats.read_life(instance, body))
+        self.client.record_heartbeat(beats.parse_life(instance, body))
 
     def look(self):
         """Return what the side takes the runner to show."""
@@ -243,7 +243,7 @@
     one = Runner(case)
     one.begin_anew()
     one.hear()
-    lost = result.Err(http.NoReply('lost'))
+    lost = result.Err(http_client.NoReply('lost'))
     with mock.patch.object(one.client, '_hold', lambda *_, **__: lost):
         case.assertTrue(one.client.read_listing().is_err())
     case.assertEqual(one.start(FIRST), workers.REFUSED_UNHEARD)
--- a/packages/platform/portwharf/platform/runner.py
+++ b/packages/platform/portwharf/platform/runner.py
@@ -1,20 +1,23 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The runner beside a side as portwharf's own ``workers.Worker``.
-
-A runner lists what runs, and what has ended under rising numbers until it
-is told up to which number the ends may go. Both come with every answer to
-a ``hold``, which also renews leases. What a runner can hold comes with its
-heartbeats.
-
-Which life of the runner is in use is settled by the looks of the agent's
-thread alone: they come one after the other, so that an answer to one is not
-of an earlier life than the answer before. Heartbeats, and answers that the
-other thread waits for, may be overtaken.
-
-On the wire an attempt is called a run; a listed run is a row of task, run,
-checkpoint, percent and a figure: of a task with a target the tail of its
-answers in ms, of any other the processors that it uses.
+"""A client of the runner beside a side, as a ``workers.Worker``.
+
+A runner lists running and ended attempts. It numbers the ended ones and keeps
+them until it is told up to which number it may drop them. Every response to a
+``hold`` request has both lists, and the request renews leases as well. The
+runner's capacity comes with its heartbeats.
+
+A life is one run of the runner's process, from its start to its exit or
+crash; the next life may have the same instance id. Only the responses to the
+agent's thread settle which life is the current one. That thread sends one
+request at a time, so a response never comes from an earlier life than the
+response before it. Heartbeats and the responses to the watching thread may
+arrive late.
+
+On the wire an attempt's number is called ``run``, and its checkpoint
+``saved``. A running attempt is a row of task, run, checkpoint, percent and a
+measurement: the tail latency in ms for a task with a latency target, the
+processors in use, in thousandths, for any other.
 """
 
 import logging
@@ -26,37 +29,37 @@
 from portwharf.core import logs
 from portwharf.core import recent
 from portwharf.platform import ends
-from portwharf.platform import http
+from portwharf.platform import http_client
 from portwharf.platform import line
-from portwharf.platform import lists
 from portwharf.platform import metrics
+from portwharf.platform import runner_lists
 from portwharf import workers
 
 LOG = logging.getLogger(__name__)
 
-# How long a runner holds an answer back until something ends.
+# How long a runner delays its response until an attempt ends.
 WAIT_SECONDS = 1.0
-# Between two looks while ends are listed that may not go yet.
-_PAUSE_SECONDS = 0.05
+# Between two requests while listed ended attempts are not acknowledged.
+_UNACKED_POLL_SECONDS = 0.05
 _RETRY_SECONDS = 0.3
 _OK = 200
 _CONFLICT = 409
-# The call was meant for another life of the runner.
-_OTHER_LIFE = 421
-# Other answers to a start which say that nothing begins.
-_NOT_BEGUN = (400, _OTHER_LIFE, 429, 503)
+# 421 Misdirected Request: the order named another instance id.
+_MISDIRECTED = 421
+# Other statuses of a start that was certainly not carried out.
+_NOT_STARTED = (400, _MISDIRECTED, 429, 503)
 _MS = 1000
-# Starts that are remembered, unless more run.
-MAX_SIZES = 1000
+# Starts to remember; all starts of running attempts are kept besides.
+MAX_REMEMBERED_STARTS = 1000
 
-_REASONS = {
+_REFUSALS = {
     'fence': workers.REFUSED_FENCE,
     'late': workers.REFUSED_LATE,
     'old': workers.REFUSED_OLD,
     'room': workers.REFUSED_ROOM,
     'ticket': workers.REFUSED_TICKET,
 }
-_ENDS = {
+_END_STATES = {
     'done': data.RunState.SUCCEEDED,
     'failed': data.RunState.FAILED,
     'stopped': data.RunState.CHECKPOINTED,
@@ -64,35 +67,37 @@
 
 
 class RunnerWorker(workers.Worker):
-    """A client of the runner; a context manager that closes it."""
+    """A client of the runner; a context manager that runs its thread."""
 
     def __init__(self, endpoint, read_token, max_hold_ms):
-        """Take the runner's ``settings.Endpoint``.
+        """Set up the client.
 
-        :param read_token: gives the fencing token of this side, 0 if it
+        :param endpoint: the runner's ``settings.Endpoint``
+        :param read_token: returns the fencing token of this side, 0 if it
             has none yet
-        :param max_hold_ms: the longest lease that the runner gives
+        :param max_hold_ms: the longest lease that the runner accepts
         """
         self._fence = line.Fence(read_token)
-        self._orders = line.Line(endpoint, self._fence.read)
-        self._waits = line.Line(endpoint, self._fence.read)
+        self._order_conn = line.Line(endpoint, self._fence.read)
+        self._wait_conn = line.Line(endpoint, self._fence.read)
         self._max_hold_ms = max_hold_ms
         self._lock = threading.Lock()
         self._lives = workers.Lives()
-        # Of the life in use: its ends, and the latest lease that it was
-        # given, on its clock.
+        # Of the current life: its ended attempts, and the end of the latest
+        # lease on its clock.
         self._ends = ends.Ends()
-        self._until_ms = 0
-        # Of which life the last list was that was read. Renewals go by that
-        # one; the life in use may be a later one whose list was lost.
-        self._listed = data.LifeId()
-        # Starts, for what the listing does not tell.
-        self._starts = recent.Recent(MAX_SIZES)
+        self._lease_until_ms = 0
+        # The life that sent the latest list. Orders are based on that list
+        # and go to this life only. The current life may be a later one whose
+        # list was lost.
+        self._listed_life = data.LifeId()
+        # What attempts were started with, as listings do not include it.
+        self._starts = recent.Recent(MAX_REMEMBERED_STARTS)
         self._on_change = None
-        self._changed = threading.Event()
+        self._end_logged = threading.Event()
         self._stop = threading.Event()
         self._thread = threading.Thread(
-            target=self._watch, name='runner', daemon=True
+            target=self._watch_for_ends, name='runner', daemon=True
         )
 
     def __enter__(self):
@@ -101,42 +106,44 @@
 
     def __exit__(self, *exc_info):
         self._stop.set()
-        self._orders.close()
+        self._order_conn.close()
 
-    def take_life(self, life):
-        """Take what a heartbeat says of the runner, a ``workers.Life``."""
+    def record_heartbeat(self, life):
+        """Take a ``workers.Life`` from a heartbeat."""
         with self._lock:
-            news = self._lives.offer(life)
-        if news:
+            is_urgent = self._lives.offer(life)
+        if is_urgent:
             self._notify()
 
     def follow(self, on_change):
         self._on_change = on_change
 
     def recall(self, start):
-        name = (start.task, start.attempt)
-        if name not in self._starts:
-            self._starts.put(name, start)
+        key = (start.task, start.attempt)
+        if key not in self._starts:
+            self._starts.put(key, start)
 
     def read_listing(self):
-        heard = self._lives.candidate
-        answer = self._reach(self._orders).and_then(self._settle)
+        candidate = self._lives.candidate
+        answer = self._reach(self._order_conn).and_then(self._adopt_life)
         if answer.is_err() and answer.err_value.refused:
-            # The runner's process is gone, and what it ran with it.
-            self._listed = data.LifeId()
+            # The runner's process is gone, and its attempts with it.
+            self._listed_life = data.LifeId()
             return result.Ok(workers.Listing(absent=True))
         if answer.is_ok():
-            answer = self._hold(self._orders, self._lives.current.id)
+            answer = self._hold(self._order_conn, self._lives.current.id)
         if answer.is_err():
-            return answer.map_err(_get_text)
-        self._refute(heard)
-        return answer.map(self._read_listing)
+            return answer.map_err(_get_error_text)
+        self._drop_candidate(candidate)
+        return answer.map(self._parse_listing)
 
     def renew(self, until_ms):
-        answer = self._hold(self._orders, self._listed, until_ms=until_ms)
+        answer = self._hold(
+            self._order_conn, self._listed_life, until_ms=until_ms
+        )
         if answer.is_ok():
-            self._until_ms = max(self._until_ms, until_ms)
-        return answer.map(lambda _: None).map_err(_get_text)
+            self._lease_until_ms = max(self._lease_until_ms, until_ms)
+        return answer.map(lambda _: None).map_err(_get_error_text)
 
     def start(self, start):
         refused = self._check_start(start.life)
@@ -153,47 +160,50 @@
         if start.ticket:
             body['ticket'] = start.ticket
         self._starts.put((start.task, start.attempt), start)
-        answer = self._orders.order('/portwharf/run-start', body)
+        answer = self._order_conn.order('/portwharf/run-start', body)
         if answer.is_err():
-            return answer.map_err(_get_text)
+            return answer.map_err(_get_error_text)
         reply = answer.ok_value
         if reply.status == _OK:
-            self._until_ms = max(self._until_ms, start.lease_until_ms)
+            self._lease_until_ms = max(
+                self._lease_until_ms, start.lease_until_ms
+            )
             return result.Ok('')
         if reply.status == _CONFLICT:
             reason = reply.value.get('reason', '')
-            return result.Ok(_REASONS.get(reason, f'runner: {reason}'))
-        if reply.status in _NOT_BEGUN:
+            return result.Ok(_REFUSALS.get(reason, f'runner: {reason}'))
+        if reply.status in _NOT_STARTED:
             return result.Ok(f'runner: HTTP status {reply.status}')
-        # Whatever this is, it does not say that nothing has begun.
+        # Any other status leaves open whether the attempt has started.
         return result.Err(f'runner: HTTP status {reply.status}')
 
     def stop(self, task, attempt, checkpoint):
         body = {'task': task, 'run': attempt}
-        return self._demand('/portwharf/run-stop', body)
+        return self._send_command('/portwharf/run-stop', body)
 
     def throttle(self, task, attempt, percent):
         body = {'task': task, 'run': attempt, 'percent': percent}
-        return self._demand('/portwharf/pace', body)
+        return self._send_command('/portwharf/pace', body)
 
     def forget(self, task, attempt):
         with self._lock:
             self._ends.forget(task, attempt)
-        self._changed.set()
+        self._end_logged.set()
         return result.Ok(None)
 
-    def _reach(self, way):
-        """Have a line be to a known life; Ok(data.LifeId), or Err(NoReply).
+    def _reach(self, conn):
+        """Connect to a known life.
 
-        :param way: the ``line.Line``
+        :param conn: the ``line.Line`` to use
+        :returns: Ok(data.LifeId), or Err(http_client.NoReply)
         """
-        return way.reach(self._lives.list_instances())
+        return conn.reach(self._lives.list_instances())
 
-    def _settle(self, life):
-        """Take a life that has answered for the one in use.
+    def _adopt_life(self, life):
+        """Make the life that has responded the current one.
 
-        What attempts were started with stays: the owner has told it once,
-        maybe before the runner was first heard.
+        Remembered starts are kept: the owner sends them once, possibly
+        before the first heartbeat of the runner.
 
         :returns: Ok(None)
         """
@@ -201,104 +211,118 @@
             if not self._lives.settle(life):
                 return result.Ok(None)
             acked, self._ends = self._ends.acked, ends.Ends()
-            self._until_ms = 0
+            self._lease_until_ms = 0
         self._fence.rise()
         extra = logs.fields(
             life=life.instance, born_ms=life.born_ms, acked=acked
         )
-        LOG.info('the runner is another life', extra=extra)
+        LOG.info('runner has a new life', extra=extra)
         return result.Ok(None)
 
-    def _refute(self, heard):
-        """Drop a life that was heard before the one in use has answered."""
-        if heard is None or heard.id == self._lives.current.id:
+    def _drop_candidate(self, candidate):
+        """Drop a candidate that another life's response has ruled out.
+
+        :param candidate: the candidate before the request was sent, or None
+        """
+        if candidate is None or candidate.id == self._lives.current.id:
             return
         with self._lock:
-            self._lives.refute(heard)
-        extra = logs.fields(life=heard.id.instance, born_ms=heard.id.born_ms)
+            self._lives.refute(candidate)
+        extra = logs.fields(
+            life=candidate.id.instance, born_ms=candidate.id.born_ms
+        )
         LOG.warning('late heartbeat of a former life', extra=extra)
 
     def _check_start(self, life):
-        """Return why nothing may be started, or ''.
+        """Return the reason why nothing may be started, or ''.
 
-        The time and the room that a start goes by are those of one life,
-        which need not be the one in use: the agent may still go by the list
-        before the last.
+        A start's lease and resources are based on one life's listing. That
+        life need not be the current one, as the agent may still act on the
+        listing before the latest.
         """
         refused = self._lives.check_start()
         if refused:
             return refused
-        reached = self._reach(self._orders)
+        reached = self._reach(self._order_conn)
         if reached.is_err():
             return workers.REFUSED_UNREACHED
         if reached.ok_value != life:
             return workers.REFUSED_UNHEARD
         return ''
 
-    def _demand(self, path, body):
-        """Send an order that is either carried out or fails."""
-        answer = self._order(self._orders, self._listed, path, body)
+    def _send_command(self, path, body):
+        """Send an order that has no outcome but success or failure."""
+        answer = self._order(self._order_conn, self._listed_life, path, body)
         if answer.is_ok() and answer.ok_value.status != _OK:
             status = answer.ok_value.status
             return result.Err(f'runner: HTTP status {status}')
-        return answer.map(lambda _: None).map_err(_get_text)
+        return answer.map(lambda _: None).map_err(_get_error_text)
 
-    def _order(self, way, life, path, body, seconds=line.CALL_SECONDS):
-        """Send an order to one life, and to no other.
+    def _order(self, conn, life, path, body, seconds=line.CALL_SECONDS):
+        """Send an order to one life only.
 
-        :param life: the ``data.LifeId`` that it means something to
-        :returns: Ok(http.Reply), or Err(http.NoReply)
+        :param life: the ``data.LifeId`` that the order is valid for
+        :returns: Ok(http_client.Reply), or Err(http_client.NoReply)
         """
-        reached = self._reach(way)
+        reached = self._reach(conn)
         if reached.is_err():
             return reached
         if reached.ok_value != life:
             self._notify()
-            return result.Err(http.NoReply('another life is there'))
-        return way.order(path, body, seconds)
+            return result.Err(
+                http_client.NoReply('the runner has another life')
+            )
+        return conn.order(path, body, seconds)
 
-    def _hold(self, way, life, until_ms=0, wait_ms=0):
-        """Look at a life of the runner, renewing leases if a time is given.
+    def _hold(self, conn, life, until_ms=0, wait_ms=0):
+        """Request the lists of a life, and renew its leases.
 
-        :returns: Ok(value of the answer), or Err(http.NoReply)
+        :param until_ms: the new end of all leases, 0 to renew none
+        :param wait_ms: how long the runner may delay its response until an
+            attempt ends
+        :returns: Ok(body of the response), or Err(http_client.NoReply)
         """
         with self._lock:
-            known = self._ends
+            ended_attempts = self._ends
             if life != self._lives.current.id:
-                return result.Err(http.NoReply('another life is there'))
-        body = {'ackedUpto': known.acked}
+                return result.Err(
+                    http_client.NoReply('the runner has another life')
+                )
+        body = {'ackedUpto': ended_attempts.acked}
         if until_ms:
             body['untilMs'] = until_ms
         if wait_ms:
             body['waitMs'] = wait_ms
         seconds = line.CALL_SECONDS + wait_ms / _MS
-        answer = self._order(way, life, line.HOLD, body, seconds)
+        answer = self._order(conn, life, line.HOLD_PATH, body, seconds)
         if answer.is_err():
             return answer
         if answer.ok_value.status != _OK:
             status = answer.ok_value.status
-            return result.Err(http.NoReply(f'HTTP status {status}'))
+            return result.Err(http_client.NoReply(f'HTTP status {status}'))
         value = answer.ok_value.value
         try:
-            lists.check_lists(value)
+            runner_lists.check_lists(value)
         except (ValueError, AttributeError) as exc:
             metrics.UNREADABLE.labels('list').inc()
-            return result.Err(http.NoReply(f'no list of runs: {exc}'))
+            return result.Err(http_client.NoReply(f'malformed lists: {exc}'))
         if life.instance:
-            # Before a life is known nobody can tell whose the numbers are.
+            # The numbers of an unidentified life must not be acknowledged.
             with self._lock:
-                known.take_rows(value['ended'])
+                ended_attempts.add_rows(value['ended'])
         return result.Ok(value)
 
-    def _read_listing(self, value):
-        """Return an answer to ``hold`` as a ``workers.Listing``."""
+    def _parse_listing(self, value):
+        """Return the body of a ``hold`` response as a ``workers.Listing``."""
         life = self._lives.current
-        self._listed = life.id
+        self._listed_life = life.id
         now_ms = value['clockMs']
         self._starts.use((row[0], row[1]) for row in value['running'])
-        running = [self._read_running(row, now_ms) for row in value['running']]
+        running = [
+            self._parse_running(row, now_ms) for row in value['running']
+        ]
         ended = [
-            _read_ended(row)
+            _parse_ended(row)
             for row in value['ended']
             if row[0] > self._ends.acked
         ]
@@ -314,12 +338,12 @@
             rack=life.rack,
         )
 
-    def _read_running(self, row, now_ms):
-        task, run, saved, percent, *figures = row
-        figure = figures[0] if figures else 0
+    def _parse_running(self, row, now_ms):
+        task, run, saved, percent, *measurements = row
+        measurement = measurements[0] if measurements else 0
         start = self._starts.get((task, run)) or workers.Start()
-        # A lease that a former life of this side gave is not known here.
-        until = self._until_ms or now_ms + self._max_hold_ms
+        # Unknown if a former process of this side gave the lease.
+        until = self._lease_until_ms or now_ms + self._max_hold_ms
         return workers.Attempt(
             task,
             run,
@@ -329,42 +353,42 @@
             workload=start.workload,
             lease_until_ms=until,
             resources=start.resources,
-            used_cpu_milli=figure,
+            used_cpu_milli=measurement,
             percent=percent,
-            tail_ms=figure,
+            tail_ms=measurement,
         )
 
     def _notify(self):
         if self._on_change is not None:
             self._on_change()
 
-    def _watch(self):
-        """Have the runner tell when something ends."""
+    def _watch_for_ends(self):
+        """Wait for ended attempts and notify the follower of new ones."""
         while not self._stop.is_set():
-            self._changed.clear()
-            known = self._ends
+            self._end_logged.clear()
+            ended_attempts = self._ends
             answer = self._hold(
-                self._waits,
+                self._wait_conn,
                 self._lives.current.id,
                 wait_ms=int(WAIT_SECONDS * _MS),
             )
             if answer.is_err():
                 self._stop.wait(_RETRY_SECONDS)
                 continue
-            if known.note_latest(answer.ok_value['ended']):
+            if ended_attempts.record_latest(answer.ok_value['ended']):
                 self._notify()
-            if known.some_listed:
-                self._changed.wait(_PAUSE_SECONDS)
-        self._waits.close()
+            if ended_attempts.has_listed:
+                self._end_logged.wait(_UNACKED_POLL_SECONDS)
+        self._wait_conn.close()
 
 
-def _get_text(lost):
-    return lost.text
+def _get_error_text(no_reply):
+    return no_reply.text
 
 
-def _read_ended(row):
+def _parse_ended(row):
     number, task, run, how, saved = row
-    state = _ENDS.get(how, data.RunState.GONE)
+    state = _END_STATES.get(how, data.RunState.GONE)
     if state == data.RunState.CHECKPOINTED and not saved:
         state = data.RunState.GONE
     return workers.Attempt(task, run, state, saved, reason=how)
--- a/packages/platform/portwharf/platform/runner_lists.py
+++ b/packages/platform/portwharf/platform/runner_lists.py
@@ -1,48 +1,52 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a runner lists, checked before anything is concluded from it.
+"""Checks the runner's lists of running and ended attempts.
 
-A list that cannot be read says nothing, and surely not that nothing runs.
+A malformed list is an error. It must not be read as an empty one, which
+would mean that nothing runs.
 """
 
-from portwharf.platform import fields
+from portwharf.platform import json_fields
 
 
 def check_lists(value):
-    """Check an answer to ``hold``.
+    """Check the body of a response to ``hold``.
 
-    :raises ValueError: it has no such lists, or a row of another shape
+    On the wire ``run`` is an attempt's number, ``saved`` its checkpoint and
+    ``how`` the way in which it ended.
+
+    :raises ValueError: a list is missing, or a row is malformed
     """
-    fields.read_whole(value, 'clockMs', 0, None)
-    for row in fields.read_list(value, 'running', list, None):
-        _check_running(*_pad(row, 5))
-    for row in fields.read_list(value, 'ended', list, None):
-        _check_ended(*_pad(row, 5))
+    json_fields.read_int(value, 'clockMs', 0, None)
+    for row in json_fields.read_list(value, 'running', list, None):
+        _check_running(*_pad_row(row, 5))
+    for row in json_fields.read_list(value, 'ended', list, None):
+        _check_ended(*_pad_row(row, 5))
 
 
-def _pad(row, size):
-    """Return a row's first items; one is too short without four."""
+def _pad_row(row, size):
+    """Return ``size`` items of a row; a missing last one becomes 0."""
     if len(row) < size - 1:
-        raise ValueError(f'a row of {len(row)}: {row!r:.60}')
+        raise ValueError(f'a row has {len(row)} items: {row!r:.60}')
     return row[:size] if len(row) >= size else [*row, 0]
 
 
-def _check_running(task, run, saved, percent, figure):
-    _check(isinstance(task, str) and isinstance(saved, str), task)
-    _check(_is_number(run) and _is_number(percent), task)
-    _check(_is_number(figure), task)
+def _check_running(task, run, saved, percent, measurement):
+    _require(isinstance(task, str) and isinstance(saved, str), task)
+    _require(_is_number(run) and _is_number(percent), task)
+    _require(_is_number(measurement), task)
 
 
 def _check_ended(number, task, run, how, saved):
-    _check(_is_number(number) and _is_number(run), task)
-    _check(isinstance(task, str) and isinstance(how, str), task)
-    _check(isinstance(saved, str), task)
+    _require(_is_number(number) and _is_number(run), task)
+    _require(isinstance(task, str) and isinstance(how, str), task)
+    _require(isinstance(saved, str), task)
 
 
 def _is_number(item):
     return isinstance(item, int | float) and not isinstance(item, bool)
 
 
-def _check(holds, task):
-    if not holds:
-        raise ValueError(f'a row of {task!r:.60} is not of its types')
+def _require(condition, task):
+    if not condition:
+        raise ValueError(f'the row of task {task!r:.60} has a wrong type')
--- a/packages/platform/portwharf/platform/runner_test.py
+++ b/packages/platform/portwharf/platform/runner_test.py
@@ -21,7 +21,7 @@
     """Return the real adapter on a stand-in, and the stand-in."""
     standin, place = platform_runner.serve_runner(case)
     client = runner.RunnerWorker(place, lambda: token, 6000)
-    client.take_life(make_life())
+    client.record_heartbeat(make_life())
     client.read_listing()
     return client, standin
 
@@ -104,7 +104,7 @@
 
 def test_former_side_is_refused(case):
     client, standin = open_runner(case)
-    standin.fence = 8 * line.LIVES_A_TOKEN
+    standin.fence = 8 * line.LIVES_PER_TOKEN
     case.assertEqual(start(client).ok_value, workers.REFUSED_FENCE)
 
 
@@ -129,7 +129,7 @@
     client.forget(TASK, 1)
     standin.begin_life('i-2')
     case.assertTrue(client.read_listing().is_err())
-    client.take_life(make_life('i-2'))
+    client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client, 2)
     standin.end_run(TASK)
@@ -176,7 +176,7 @@
     client, _ = open_runner(case)
     told = threading.Event()
     client.follow(told.set)
-    client.take_life(make_life(draining=True, leaves_in_ms=2500))
+    client.record_heartbeat(make_life(draining=True, leaves_in_ms=2500))
     case.assertTrue(told.is_set())
     case.assertEqual(client.read_listing().ok_value.leaves_in_ms, 2500)
 
@@ -193,7 +193,7 @@
     client, _ = open_runner(case)
     start(client)
     client.read_listing()
-    for number in range(runner.MAX_SIZES + 1):
+    for number in range(runner.MAX_REMEMBERED_STARTS + 1):
         client.recall(workers.Start(f'x.{number}', 1))
     (attempt,) = client.read_listing().ok_value.attempts
     case.assertEqual(attempt.resources, SIZE)
@@ -202,10 +202,10 @@
 def test_late_heartbeat_of_an_earlier_life_changes_nothing(case):
     client, standin = open_runner(case)
     standin.begin_life('i-2')
-    client.take_life(make_life('i-2'))
+    client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client)
-    client.take_life(make_life('i-0'))
+    client.record_heartbeat(make_life('i-0'))
     listing = client.read_listing().ok_value
     case.assertEqual(listing.life.instance, 'i-2')
     case.assertEqual(len(listing.attempts), 1)
@@ -215,21 +215,21 @@
 def test_late_heartbeat_that_is_the_first_one_hides_nothing(case):
     _, place = platform_runner.serve_runner(case)
     former = runner.RunnerWorker(place, lambda: 7, 6000)
-    former.take_life(make_life())
+    former.record_heartbeat(make_life())
     former.read_listing()
     start(former)
     client = runner.RunnerWorker(place, lambda: 8, 6000)
-    client.take_life(make_life('i-0'))
+    client.record_heartbeat(make_life('i-0'))
     listing = client.read_listing().ok_value
     case.assertEqual([a.task for a in listing.attempts], [TASK])
-    client.take_life(make_life())
+    client.record_heartbeat(make_life())
     case.assertEqual(client.read_listing().ok_value.life.instance, 'i-1')
 
 
 def test_late_heartbeat_of_the_same_life_does_not_undo_draining(case):
     client, _ = open_runner(case)
-    client.take_life(make_life(draining=True, seq=5))
-    client.take_life(make_life(seq=4))
+    client.record_heartbeat(make_life(draining=True, seq=5))
+    client.record_heartbeat(make_life(seq=4))
     case.assertTrue(client.read_listing().ok_value.draining)
 
 
@@ -238,7 +238,7 @@
     start(client)
     standin.begin_life('i-2')
     standin.unhealthy = 1
-    client.take_life(make_life('i-2'))
+    client.record_heartbeat(make_life('i-2'))
     case.assertTrue(client.read_listing().is_err())
     listing = client.read_listing().ok_value
     case.assertEqual(listing.life.instance, 'i-2')
@@ -249,21 +249,21 @@
     client, _ = open_runner(case)
     told = threading.Event()
     client.follow(told.set)
-    client.take_life(make_life('i-2'))
+    client.record_heartbeat(make_life('i-2'))
     case.assertTrue(told.is_set())
 
 
 def test_ends_that_are_seen_before_a_life_is_known_are_not_acknowledged(case):
     standin, place = platform_runner.serve_runner(case)
     former = runner.RunnerWorker(place, lambda: 7, 6000)
-    former.take_life(make_life())
+    former.record_heartbeat(make_life())
     former.read_listing()
     start(former)
     standin.end_run(TASK)
     client = runner.RunnerWorker(place, lambda: 8, 6000)
     client.read_listing()
     standin.begin_life('i-2')
-    client.take_life(make_life('i-2'))
+    client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client, 2)
     standin.end_run(TASK)
@@ -273,7 +273,7 @@
 
 def test_nothing_begins_on_a_life_that_is_heard_to_leave(case):
     client, standin = open_runner(case)
-    client.take_life(make_life(draining=True))
+    client.record_heartbeat(make_life(draining=True))
     case.assertEqual(start(client).ok_value, workers.REFUSED_LEAVING)
     case.assertEqual(standin.running, {})
 
@@ -281,7 +281,7 @@
 def test_nothing_begins_before_a_life_is_known(case):
     standin, place = platform_runner.serve_runner(case)
     client = runner.RunnerWorker(place, lambda: 7, 6000)
-    client.take_life(make_life('i-0'))
+    client.record_heartbeat(make_life('i-0'))
     client.read_listing()
     case.assertEqual(start(client).ok_value, workers.REFUSED_UNHEARD)
     case.assertEqual(standin.running, {})
@@ -293,7 +293,7 @@
     standin.running[TASK] = 1
     client = runner.RunnerWorker(place, lambda: 7, 6000)
     client.recall(workers.Start(TASK, 1, workload='a/b', resources=SIZE))
-    client.take_life(make_life())
+    client.record_heartbeat(make_life())
     (attempt,) = client.read_listing().ok_value.attempts
     case.assertEqual((attempt.workload, attempt.resources), ('a/b', SIZE))
 
@@ -306,7 +306,7 @@
     """
     client, _ = open_runner(case)
     start(client)
-    client.take_life(make_life('i-0'))
-    client.take_life(make_life('i-1'))
+    client.record_heartbeat(make_life('i-0'))
+    client.record_heartbeat(make_life('i-1'))
     (attempt,) = client.read_listing().ok_value.attempts
     case.assertEqual(attempt.resources, SIZE)
--- a/packages/platform/portwharf/platform/runner_walk_test.py
+++ b/packages/platform/portwharf/platform/runner_walk_test.py
@@ -15,7 +15,7 @@
 
 from portwharf.core import data
 from portwharf.platform import beats
-from portwharf.platform import http
+from portwharf.platform import http_client
 from portwharf.platform import line
 from portwharf.platform import runner
 from portwharf.testing import platform_runner
@@ -52,7 +52,7 @@
         return self.now_ms
 
     def answer(self, path, body, meant):
-        """Carry out a call; returns its ``http.Reply``."""
+        """Carry out a call; returns its ``http_client.Reply``."""
         until = body.get('untilMs', 0)
         if (
             meant == self.instance
@@ -65,7 +65,7 @@
         self.noted |= before - {(row[1], row[2]) for row in self.ended}
         if 'born' in value:
             value['born'] = self.told_ms or self.born_ms
-        return http.Reply(status, {**value, 'clockMs': self.now_ms})
+        return http_client.Reply(status, {**value, 'clockMs': self.now_ms})
 
 
 class Connection:
@@ -92,14 +92,14 @@
     def call(self, method, path, seconds, body, headers):
         """Have a call carried out, unless the life is another one."""
         if not self.is_open:
-            return result.Err(http.NoReply('reset', sent=True))
+            return result.Err(http_client.NoReply('reset', sent=True))
         meant = headers.get('Portwharf-Target-Instance', '')
         standin = self._standin
         reply = standin.answer(path, body, meant or standin.instance)
         if standin.loses:
             standin.loses -= 1
             self.close()
-            return result.Err(http.NoReply('lost', sent=True))
+            return result.Err(http_client.NoReply('lost', sent=True))
         return result.Ok(reply)
 
 
@@ -131,12 +131,12 @@
         standin = self.standin
         body = standin.make_beat(born=standin.told_ms or standin.born_ms)
         self.beats.append(body)
-        self.client.take_life(beats.read_life('i-1', body))
+        self.client.record_heartbeat(beats.parse_life('i-1', body))
 
     def hear_late(self):
         """A heartbeat comes once more, maybe of a life that is over."""
         body = self.random.choice(self.beats)
-        self.client.take_life(beats.read_life('i-1', body))
+        self.client.record_heartbeat(beats.parse_life('i-1', body))
 
     def look(self):
         """Read the list, and log what it shows to have ended.
@@ -208,7 +208,7 @@
 
     :param told_ms: the birth that each life tells, if not its own
     """
-    with mock.patch.object(line.http, 'Connection', Connection):
+    with mock.patch.object(line.http_client, 'Connection', Connection):
         for seed in range(SEEDS):
             try:
                 Walk(seed, told_ms).run()
@@ -228,7 +228,7 @@
 
 def test_starts_by_the_list_of_another_life_are_found(case):
     def check(self, life):
-        return self._lives.check_start() or self._reach(self._orders).err()
+        return self._lives.check_start() or self._reach(self._order_conn).err()
 
     with mock.patch.object(runner.RunnerWorker, '_check_start', check):
         case.assertIsNotNone(walk_all())
--- a/packages/platform/portwharf/platform/side_environment.py
+++ b/packages/platform/portwharf/platform/side_environment.py
@@ -1,69 +1,72 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What a side meets on the users' platform."""
+"""What a side uses on the users' platform: store, VM list, runner, policy."""
 
 from portwharf.core import web
 from portwharf.platform import advice
 from portwharf.platform import beats
+from portwharf.platform import decoding
 from portwharf.platform import kv
-from portwharf.platform import routes
 from portwharf.platform import runner
 from portwharf.side import outside
 from portwharf import vmlist
 
-# How long a start waits for the registration, which gives the token.
-_TOKEN_SECONDS = 0.1
-_BEAT_THREADS = 2
+# How long a call waits for the registration, which provides the token.
+_REGISTRATION_WAIT_SECONDS = 0.1
+_HEARTBEAT_THREADS = 2
 
 
-class PlatformOutside(outside.Outside):
-    """Opens the platform's store, register and runner."""
+class PlatformEnvironment(outside.Outside):
+    """Opens the platform's store, VM registration, runner and policy."""
 
-    config_key = routes.CONFIG_KEY
-    zones_prefix = routes.ZONES_PREFIX
+    config_key = decoding.CONFIG_KEY
+    zones_prefix = decoding.ZONES_PREFIX
 
     def __init__(self, settings):
-        """Take a ``boot.Boot``."""
+        """Take a ``boot.BootSettings``."""
         self._boot = settings
         self._registration = None
 
     def open_store(self, clock):
-        return kv.open_shared(self._boot, clock)
+        return kv.open_budgeted_store(self._boot, clock)
 
     def open_vm_list(self, kv):
         self._registration = vmlist.Registration(kv, self._boot.vm)
         return self._registration
 
     def open_worker(self):
-        place = self._boot.runner
-        return _RunnerWithBeats(
-            place,
+        endpoint = self._boot.runner
+        return _RunnerWithHeartbeats(
+            endpoint,
             self._read_token,
             self._boot.max_hold_ms,
             self._boot.beats,
         )
 
     def _read_token(self):
-        """Return the fencing token, or 0; at a start it is soon there."""
-        self._registration.registered.wait(_TOKEN_SECONDS)
+        """Return the fencing token, 0 while the side is not registered."""
+        self._registration.registered.wait(_REGISTRATION_WAIT_SECONDS)
         return self._registration.token
 
     def open_policy(self):
-        place = self._boot.advice
-        return advice.AdviceService(place) if place is not None else None
+        endpoint = self._boot.advice
+        return advice.AdviceClient(endpoint) if endpoint is not None else None
 
     def parse_config(self, text, revision):
-        return routes.parse_config(text, revision)
+        return decoding.parse_config(text, revision)
 
 
-class _RunnerWithBeats(runner.RunnerWorker):
-    """A runner's client together with the server of its heartbeats."""
+class _RunnerWithHeartbeats(runner.RunnerWorker):
+    """A runner's client together with the server for its heartbeats."""
 
-    def __init__(self, place, read_token, max_hold_ms, beats_at):
-        super().__init__(place, read_token, max_hold_ms)
-        app = beats.Beats(self.take_life)
+    def __init__(self, endpoint, read_token, max_hold_ms, heartbeat_endpoint):
+        super().__init__(endpoint, read_token, max_hold_ms)
+        app = beats.HeartbeatReceiver(self.record_heartbeat)
         self._server = web.Server(
-            beats_at.address, beats_at.port, app, _BEAT_THREADS
+            heartbeat_endpoint.address,
+            heartbeat_endpoint.port,
+            app,
+            _HEARTBEAT_THREADS,
         )
 
     def __enter__(self):
