--- a/packages/peers/portwharf/peers/duplex_test.py
+++ b/packages/peers/portwharf/peers/duplex_test.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Both ends of a connection with TLS read while they send.
+"""TLS connections are read and written at the same time at both ends.
 
-One thread reads a connection and others send on it. A TLS object may be
-used by one thread at a time only, and that of Python 3.11 does not see to
-it: connections end, and processes die of corrupted memory. So this runs in a
-process of its own.
+One thread reads a connection while others send on it. A TLS object may be
+used by one thread at a time only, and Python 3.11 does not enforce that:
+connections break, and processes crash with corrupted memory. So the test runs
+in a process of its own.
 """
 
 import subprocess
@@ -13,7 +13,7 @@
 
 _CONNECTIONS = 40
 _MESSAGES = 4
-_BYTES = 500_000
+_CHUNK_BYTES = 500_000
 
 _SCRIPT = f"""
 import threading
@@ -25,7 +25,7 @@
 from portwharf.peers import tls
 from portwharf.testing import fixtures
 
-CHUNK = messages.Chunk(1, bytes({_BYTES}))
+CHUNK = messages.Chunk(1, bytes({_CHUNK_BYTES}))
 
 
 def send_all(conn):
@@ -52,7 +52,7 @@
 """
 
 
-def test_tls_carries_both_ways_at_once(case):
+def test_tls_connection_is_read_while_it_is_written(case):
     done = subprocess.run(
         [sys.executable, '-c', _SCRIPT],
         capture_output=True,
--- a/packages/peers/portwharf/peers/streams_test.py
+++ b/packages/peers/portwharf/peers/streams_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Bad frames end one connection and nothing else; TLS keeps others out."""
+"""Tests of framing, greetings, TLS and idle limits of connections."""
 
 import queue
 import socket
@@ -18,23 +18,24 @@
 
 
 def listen(case, context=None):
-    """Serve connections that send back what they get.
+    """Serve connections that echo each message.
 
-    :returns: the listener's port and a queue of how connections ended
+    :returns: the listener's port, and a queue of the reasons why connections
+        were closed
     """
-    ended = queue.Queue()
+    reasons = queue.Queue()
 
     def echo(conn):
         try:
             while True:
                 conn.send(conn.receive())
         except streams.PeerError as exc:
-            ended.put(str(exc))
+            reasons.put(str(exc))
             raise
 
     listener = streams.Listener('127.0.0.1', 0, echo, context)
     case.enterContext(listener)
-    return listener.port, ended
+    return listener.port, reasons
 
 
 def dial(case, port, context=None):
@@ -44,14 +45,14 @@
 
 
 def send_raw(case, port, raw):
-    """Send bytes on a new connection, which stays open."""
+    """Send bytes on a new connection and leave it open."""
     sock = socket.create_connection(('127.0.0.1', port))
     case.addCleanup(sock.close)
     sock.sendall(raw)
     return sock
 
 
-def test_message_comes_back_whole(case):
+def test_message_is_echoed_unchanged(case):
     port, _ = listen(case)
     conn = dial(case, port)
     request = messages.Request(7, 'id', 'lens/fit', True, 100)
@@ -70,8 +71,8 @@
     case.assertEqual(answer, ['hello', {'name': 'n'}])
 
 
-def test_garbled_frame_ends_its_connection_alone(case):
-    port, ended = listen(case)
+def test_malformed_frame_closes_only_its_connection(case):
+    port, reasons = listen(case)
     other = dial(case, port)
     for raw in (
         msgpack.packb({'not': 'a frame'}),
@@ -83,13 +84,13 @@
     ):
         sock = send_raw(case, port, raw)
         case.assertEqual(sock.recv(10), b'')
-        ended.get(timeout=10)
+        reasons.get(timeout=10)
     other.send(HELLO)
     case.assertEqual(other.receive(), HELLO)
 
 
-def test_oversized_frame_ends_its_connection(case):
-    port, ended = listen(case)
+def test_oversized_frame_closes_its_connection(case):
+    port, reasons = listen(case)
     head = b'\xc6' + (streams.MAX_FRAME_BYTES * 2).to_bytes(4, 'big')
     sock = send_raw(case, port, head)
     piece = bytes(65536)
@@ -98,20 +99,20 @@
             sock.sendall(piece)
     except OSError:
         pass
-    case.assertIn('cannot read', ended.get(timeout=10))
+    case.assertIn('cannot read', reasons.get(timeout=10))
 
 
-def test_closed_connection_tells_both_ends(case):
-    port, ended = listen(case)
+def test_both_ends_notice_a_closed_connection(case):
+    port, reasons = listen(case)
     conn = dial(case, port)
     conn.close()
-    case.assertIn('closed', ended.get(timeout=10))
+    case.assertIn('closed', reasons.get(timeout=10))
     with case.assertRaises(streams.PeerError):
         conn.receive()
     case.assertFalse(conn.try_send(HELLO))
 
 
-def test_unreachable_peer_is_told(case):
+def test_unreachable_peer_is_an_error(case):
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         port = sock.getsockname()[1]
@@ -125,7 +126,7 @@
         streams.check_greeting(newer)
 
 
-def test_no_greeting_is_refused(case):
+def test_other_message_than_a_greeting_is_refused(case):
     with case.assertRaisesRegex(streams.PeerError, 'no greeting'):
         streams.check_greeting(messages.Grant())
 
@@ -138,16 +139,16 @@
     case.assertEqual(conn.receive(), HELLO)
 
 
-def test_tls_turns_away_who_has_no_certificate_of_ours(case):
+def test_tls_refuses_a_certificate_of_another_authority(case):
     issue = fixtures.make_authority(case)
-    strange = fixtures.make_authority(case)('stranger')
+    foreign_files = fixtures.make_authority(case)('stranger')
     port, _ = listen(case, tls.make_server_context(issue('side')))
     with case.assertRaises(streams.PeerError):
-        conn = dial(case, port, tls.make_client_context(strange))
+        conn = dial(case, port, tls.make_client_context(foreign_files))
         conn.receive()
 
 
-def test_tls_turns_away_plain_text(case):
+def test_tls_refuses_plain_text(case):
     issue = fixtures.make_authority(case)
     port, _ = listen(case, tls.make_server_context(issue('side')))
     conn = dial(case, port)
@@ -156,14 +157,14 @@
         conn.receive()
 
 
-def hush(case, port):
+def dial_through_relay(case, port):
     """Return a connection through a relay, and the relay."""
-    made = case.enterContext(relay.Relay('127.0.0.1', 0, port))
-    return dial(case, made.port), made
+    link_relay = case.enterContext(relay.Relay('127.0.0.1', 0, port))
+    return dial(case, link_relay.port), link_relay
 
 
 def make_pair(case, idle):
-    """Return a connection and the bare socket at its other end."""
+    """Return a connection and the plain socket at its other end."""
     server = socket.create_server(('127.0.0.1', 0))
     case.addCleanup(server.close)
     ours = socket.create_connection(server.getsockname())
@@ -175,19 +176,19 @@
     return conn, theirs
 
 
-def test_ends_that_have_nothing_to_say_keep_their_connection(case):
+def test_keep_alives_hold_an_idle_connection_open(case):
     conn, theirs = make_pair(case, 0.3)
-    taken = queue.Queue()
-    threading.Thread(target=lambda: taken.put(conn.receive())).start()
+    received = queue.Queue()
+    threading.Thread(target=lambda: received.put(conn.receive())).start()
     for _ in range(2 * streams.KEEP_ALIVES_PER_LIMIT):
         frame = theirs.recv(1000)
         case.assertEqual(msgpack.unpackb(frame), [streams.KEEP_ALIVE, {}])
         theirs.sendall(frame)
     theirs.sendall(msgpack.packb(['hello', {}]))
-    case.assertEqual(taken.get(timeout=10), messages.Hello())
+    case.assertEqual(received.get(timeout=10), messages.Hello())
 
 
-def test_end_that_only_sends_says_nothing_besides(case):
+def test_no_keep_alive_is_sent_after_a_message(case):
     conn, theirs = make_pair(case, 60.0)
     conn.send(HELLO)
     theirs.sendall(msgpack.packb(['hello', {}]))
@@ -196,30 +197,30 @@
     case.assertEqual(msgpack.unpackb(frame)[0], 'hello')
 
 
-def test_connection_that_goes_silent_is_noticed_at_both_ends(case):
-    port, ended = listen(case)
-    conn, between = hush(case, port)
+def test_both_ends_notice_a_silent_connection(case):
+    port, reasons = listen(case)
+    conn, link_relay = dial_through_relay(case, port)
     conn.send(HELLO)
     conn.receive()
-    between.hush()
+    link_relay.hush()
     with case.assertRaises(streams.IdleTimeoutError):
         conn.receive()
-    case.assertIn('silent', ended.get(timeout=8))
+    case.assertIn('silent', reasons.get(timeout=8))
 
 
-def test_sender_that_is_blocked_on_a_silent_connection_is_let_go(case):
+def test_blocked_sender_is_released_when_the_connection_is_silent(case):
     port, _ = listen(case)
-    conn, between = hush(case, port)
+    conn, link_relay = dial_through_relay(case, port)
     conn.send(HELLO)
     conn.receive()
-    between.hush()
+    link_relay.hush()
     chunk = messages.Chunk(1, bytes(streams.MAX_FRAME_BYTES // 2))
 
-    def send_on():
+    def send_until_closed():
         while conn.try_send(chunk):
             pass
 
-    sender = threading.Thread(target=send_on)
+    sender = threading.Thread(target=send_until_closed)
     sender.start()
     with case.assertRaises(streams.IdleTimeoutError), conn:
         while True:
@@ -228,11 +229,11 @@
     case.assertFalse(sender.is_alive())
 
 
-def test_silence_is_noticed_as_soon_with_tls(case):
-    """A record that is not a message is no reason to wait without a limit.
+def test_idle_limit_applies_with_tls(case):
+    """TLS data without a message does not extend the idle limit.
 
-    A server's session tickets are such, and the part of a record that came
-    before the path went silent.
+    Such data are a server's session tickets, or the first part of a record
+    when the rest was lost.
     """
     issue = fixtures.make_authority(case)
     done = threading.Event()
@@ -247,7 +248,7 @@
     context = tls.make_client_context(issue('entry'))
     conn = dial(case, listener.port, context)
     conn.set_idle(0.3)
-    # No read waits by itself, so that only the limit above counts.
+    # Reads do not block, so that only the idle limit applies.
     case.assertFalse(conn._sock.getblocking())
     with case.assertRaises(streams.IdleTimeoutError):
         conn.receive()
--- a/packages/platform/portwharf/platform/advice_test.py
+++ b/packages/platform/portwharf/platform/advice_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The advice service is asked in its words and answers in ours."""
+"""Tests of the advice service's client."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 def open_service(case, status=200):
-    """Return the client of a service that allows the first worker."""
+    """Return the client of a service that permits the first worker."""
     bodies = []
 
     def answer(environ, start_response):
@@ -26,11 +26,11 @@
         return platform_store.answer(start_response, status, value)
 
     port = fixtures.serve(case, answer)
-    place = settings.Endpoint('127.0.0.1', port)
-    return case.enterContext(advice.AdviceClient(place)), bodies
+    endpoint = settings.Endpoint('127.0.0.1', port)
+    return case.enterContext(advice.AdviceClient(endpoint)), bodies
 
 
-def test_allowed_workers_come_with_their_tickets(case):
+def test_permitted_workers_are_returned_with_their_tickets(case):
     service, bodies = open_service(case)
     first, second = data.LifeId('i-1', 9), data.LifeId('i-2', 8)
     permits = service.ask(STEP, [first, second]).ok_value
@@ -38,6 +38,6 @@
     case.assertEqual(bodies, [{'step': STEP, 'workers': ['i-1', 'i-2']}])
 
 
-def test_full_service_is_no_answer(case):
+def test_overloaded_service_is_an_error(case):
     service, _ = open_service(case, status=429)
     case.assertTrue(service.ask(STEP, [data.LifeId('i-1')]).is_err())
--- a/packages/platform/portwharf/platform/beats_test.py
+++ b/packages/platform/portwharf/platform/beats_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Heartbeats of a runner are taken, and what is none is refused."""
+"""Tests of the receiver of a runner's heartbeats."""
 
 import json
 
@@ -8,7 +8,7 @@
 from portwharf.platform import beats
 from portwharf.testing import fixtures
 
-BEAT = {
+HEARTBEAT = {
     'service': 'pool-1',
     'zone': 'zone-1',
     'state': 'draining',
@@ -20,17 +20,17 @@
 }
 
 
-def send(taken, path, body):
-    """Send a call of the runner's."""
-    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(taken.append))
+def send(received, path, body):
+    """Send a runner's request to a receiver."""
+    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(received.append))
     return pool.request('POST', path, json.dumps(body))
 
 
-def test_heartbeat_is_taken_whole(case):
-    taken = []
+def test_all_fields_of_a_heartbeat_are_read(case):
+    received = []
     path = '/portwharf/instances/i-7/heartbeat'
-    case.assertEqual(send(taken, path, BEAT).status, 200)
-    (life,) = taken
+    case.assertEqual(send(received, path, HEARTBEAT).status, 200)
+    (life,) = received
     case.assertEqual(life.id, data.LifeId('i-7', 1790))
     case.assertEqual(life.pool, 'pool-1')
     case.assertEqual(life.capacity, data.Resources(16000, 32768, 2))
@@ -38,18 +38,18 @@
     case.assertEqual(life.seq, 4)
 
 
-def test_leaving_is_acknowledged(case):
+def test_deregistration_is_acknowledged(case):
     path = '/portwharf/instances/i-7/deregister'
     case.assertEqual(send([], path, {}).status, 200)
 
 
-def test_what_is_no_heartbeat_is_refused_with_a_reason(case):
-    taken = []
+def test_malformed_heartbeat_is_refused_with_a_reason(case):
+    received = []
     path = '/portwharf/instances/i-7/heartbeat'
-    odd = {**BEAT, 'born': '1790'}
-    for body in ([], {}, {'service': 'x', 'capacity': 3}, odd):
-        answer = send(taken, path, body)
+    bad_birth = {**HEARTBEAT, 'born': '1790'}
+    for body in ([], {}, {'service': 'x', 'capacity': 3}, bad_birth):
+        answer = send(received, path, body)
         case.assertEqual(answer.status, 400)
         case.assertIn(b'not a heartbeat', answer.data)
-    case.assertEqual(send(taken, '/other', BEAT).status, 404)
-    case.assertEqual(taken, [])
+    case.assertEqual(send(received, '/other', HEARTBEAT).status, 404)
+    case.assertEqual(received, [])
--- a/packages/platform/portwharf/platform/boot_test.py
+++ b/packages/platform/portwharf/platform/boot_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Settings of the platform are read once, and what is amiss is named."""
+"""Tests of reading the platform's settings file."""
 
 import pathlib
 import tempfile
@@ -29,14 +29,14 @@
 
 
 def read(case, text):
-    """Read settings from a file with a text."""
+    """Write a settings file and read it."""
     folder = case.enterContext(tempfile.TemporaryDirectory())
     path = pathlib.Path(folder) / 'boot.toml'
     path.write_text(text)
     return boot.read_settings({boot.PATH_VARIABLE: str(path)})
 
 
-def test_side_learns_its_place(case):
+def test_side_settings_are_read(case):
     found = read(case, TEXT).ok_value
     vm = data.Vm('vm-1', '10.1.0.14', 7720, 'zone-1')
     case.assertEqual(found.vm, vm)
@@ -46,26 +46,26 @@
     case.assertEqual(found.store_calls, 60)
 
 
-def test_entry_is_no_endpoint(case):
+def test_entry_has_the_entry_role(case):
     found = read(case, TEXT.replace('"side"', '"front"')).ok_value
     case.assertEqual(found.vm.role, data.Role.ENTRY)
 
 
-def test_leases_fit_into_what_a_runner_gives(case):
+def test_leases_are_shorter_than_the_longest_of_a_runner(case):
     found = read(case, TEXT).ok_value
-    for longest in (3000, 6000, 10000):
-        found.max_hold_ms = longest
-        made = boot.make_limits(found)
-        seconds = longest / 1000
-        case.assertLess(made.guard + made.lease, seconds)
-        case.assertLessEqual(2 * made.heartbeat, made.confirm)
+    for longest_ms in (3000, 6000, 10000):
+        found.max_hold_ms = longest_ms
+        time_limits = boot.make_limits(found)
+        seconds = longest_ms / 1000
+        case.assertLess(time_limits.guard + time_limits.lease, seconds)
+        case.assertLessEqual(2 * time_limits.heartbeat, time_limits.confirm)
 
 
-def test_missing_field_is_named(case):
+def test_error_names_the_missing_field(case):
     found = read(case, TEXT.replace('zone =', 'other ='))
     case.assertIn('zone', found.err_value[0].describe())
 
 
-def test_missing_file_is_named(case):
+def test_error_names_the_missing_file(case):
     found = boot.read_settings({boot.PATH_VARIABLE: '/nowhere/boot.toml'})
     case.assertIn('/nowhere/boot.toml', found.err_value[0].describe())
--- a/packages/platform/portwharf/platform/clients_test.py
+++ b/packages/platform/portwharf/platform/clients_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Clients' calls are translated both ways, and refusals are true."""
+"""Tests of the HTTP interface for job clients."""
 
 import json
 
@@ -59,7 +59,7 @@
 
 
 class FakeCalls:
-    """Owners that give what a test has set."""
+    """Owners that give the answers that a test has set."""
 
     def __init__(self):
         self.calls = []
@@ -67,14 +67,14 @@
         self.answers = {}
 
     def call(self, shard, method, arguments, cls, seconds, *_):
-        """Note a call and answer it."""
+        """Record a call and return its answer."""
         self.calls.append((method, arguments))
         self.seconds.append(seconds)
         return self.answers[method]
 
 
 def open_calls(stopping=False):
-    """Return a client of the application, and the owners behind it."""
+    """Return a client of the application, owners, clock and configuration."""
     keeper = configuration.ConfigKeeper(decoding.parse_config)
     calls = FakeCalls()
     now = clock.ManualClock()
@@ -87,17 +87,17 @@
 
 
 def send(pool, method, path, body=None):
-    """Send a client's call."""
+    """Send a client's request."""
     raw = json.dumps(body) if body is not None else ''
     return pool.request(method, path, raw, {'Host': 'desk.example:80'})
 
 
 def fail(code):
-    """Return the error of a call that was not carried out."""
+    """Return the result of a failed call."""
     return result.Err([data.Problem(code)])
 
 
-def test_job_is_handed_to_its_owner_in_our_words(case):
+def test_submitted_job_is_decoded_for_its_owner(case):
     pool, calls, _, _ = open_calls()
     accepted = result.Ok(operations.Accepted(ID, True))
     calls.answers['submit-job'] = accepted
@@ -130,11 +130,11 @@
         calls.answers['cancel-job'] = fail(code)
         answer = send(pool, 'DELETE', f'/a/{ID}')
         case.assertEqual(answer.status, status)
-        later = 'Retry-After' in answer.headers
-        case.assertEqual(later, status in (503, 504))
+        has_retry_after = 'Retry-After' in answer.headers
+        case.assertEqual(has_retry_after, status in (503, 504))
 
 
-def test_state_is_shown_and_an_unknown_job_is_gone(case):
+def test_state_is_returned_and_an_unknown_job_is_gone(case):
     pool, calls, _, _ = open_calls()
     view = job_operations.JobView(ID, 'running')
     calls.answers['read-job'] = result.Ok(view)
@@ -144,7 +144,7 @@
     case.assertEqual(send(pool, 'GET', f'/a/{ID}').status, 410)
 
 
-def test_count_of_waiting_jobs_is_asked_now_and_then(case):
+def test_count_of_pending_jobs_is_cached(case):
     pool, calls, now, _ = open_calls()
     calls.answers['count-pending'] = result.Ok(job_operations.Pending(3))
     for _ in range(3):
@@ -156,7 +156,7 @@
     case.assertEqual(len(calls.calls), 2)
 
 
-def test_call_is_given_up_while_its_client_can_try_again(case):
+def test_call_times_out_while_its_client_can_retry(case):
     pool, calls, _, _ = open_calls()
     calls.answers['read-job'] = fail(owners.OUTCOME_UNKNOWN)
     for deadline in ('', '1000', 'soon', '60000'):
@@ -174,7 +174,7 @@
     case.assertEqual(send(pool, 'POST', '/a/short', BODY).status, 404)
 
 
-def test_route_that_was_dropped_is_not_found(case):
+def test_removed_route_is_not_found(case):
     pool, _, _, keeper = open_calls()
     keeper.offer(6, json.dumps({**CONFIG, 'routes': []}))
     case.assertEqual(send(pool, 'GET', f'/a/{ID}').status, 404)
@@ -182,7 +182,7 @@
     case.assertEqual(send(pool, 'GET', f'/a/{ID}').status, 404)
 
 
-def test_entry_without_a_configuration_says_come_back(case):
+def test_entry_without_a_configuration_asks_to_retry(case):
     keeper = configuration.ConfigKeeper(decoding.parse_config)
     stop = leaving.Leaving(clock.ManualClock(), 2.5, 4.5)
     app = clients.JobApi(None, keeper, None, stop)
@@ -191,7 +191,7 @@
     case.assertIn('Retry-After', answer.headers)
 
 
-def test_bad_bodies_name_what_is_wrong(case):
+def test_malformed_jobs_are_refused_with_a_reason(case):
     pool, _, _, _ = open_calls()
     bad = [
         [],
@@ -215,7 +215,7 @@
     case.assertEqual(answer.headers['Connection'], 'close')
 
 
-def test_late_call_at_a_stopping_entry_is_answered_before_its_end(case):
+def test_late_call_is_answered_before_the_entry_exits(case):
     pool, calls, now, _ = open_calls(stopping=True)
     calls.answers['read-job'] = fail(owners.OUTCOME_UNKNOWN)
     now.advance(4.0)
@@ -223,7 +223,7 @@
     case.assertEqual((answer.status, calls.seconds), (504, [0.5]))
 
 
-def test_garbled_configuration_changes_nothing(case):
+def test_malformed_configuration_is_ignored(case):
     pool, calls, _, keeper = open_calls()
     case.assertFalse(keeper.offer(9, '{"routes": [{}]}'))
     case.assertEqual(keeper.read().revision, 5)
--- a/packages/platform/portwharf/platform/http_client_test.py
+++ b/packages/platform/portwharf/platform/http_client_test.py
@@ -1,6 +1,10 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Connections that have gone silent cost one call and not one each."""
+"""A timeout drops all idle connections, so that few calls are lost.
+
+When packets are lost, every pooled connection is silent. The first call that
+times out drops the others as well, and the next calls open new ones.
+"""
 
 import concurrent.futures
 import threading
@@ -11,61 +15,65 @@
 from portwharf.testing import platform_store
 from portwharf.testing import relay
 
-OPEN = 3
+CONNECTIONS = 3
 
 
-class Waiting:
-    """Answers ``/together`` once all have come, ``/held`` when let go."""
+class DelayingApp:
+    """Answers ``/together`` once all have come, ``/held`` on release."""
 
     def __init__(self):
-        self._all = threading.Barrier(OPEN)
+        self._barrier = threading.Barrier(CONNECTIONS)
         self.held = threading.Event()
-        self.let_go = threading.Event()
+        self.released = threading.Event()
 
     def __call__(self, environ, start_response):
         if environ['PATH_INFO'] == '/together':
-            self._all.wait(10)
+            self._barrier.wait(10)
         if environ['PATH_INFO'] == '/held':
             self.held.set()
-            self.let_go.wait(10)
+            self.released.wait(10)
         return platform_store.answer(start_response, 200, {})
 
 
 def open_client(case):
-    """Return a client through a relay, the relay and the application."""
-    app = Waiting()
+    """Return a client, its relay, the application and a thread pool."""
+    app = DelayingApp()
     port = fixtures.serve(case, app, threads=8)
-    between = case.enterContext(relay.Relay('127.0.0.1', 0, port))
-    place = settings.Endpoint('127.0.0.1', between.port)
-    client = case.enterContext(http_client.Client(place))
-    pool = case.enterContext(concurrent.futures.ThreadPoolExecutor(OPEN))
-    case.addCleanup(app.let_go.set)
-    return client, between, app, pool
+    link_relay = case.enterContext(relay.Relay('127.0.0.1', 0, port))
+    endpoint = settings.Endpoint('127.0.0.1', link_relay.port)
+    client = case.enterContext(http_client.Client(endpoint))
+    pool = case.enterContext(
+        concurrent.futures.ThreadPoolExecutor(CONNECTIONS)
+    )
+    case.addCleanup(app.released.set)
+    return client, link_relay, app, pool
 
 
 def call(client, path, seconds=10):
-    """Make a call."""
+    """Send a request."""
     return client.call('GET', path, seconds)
 
 
 def call_together(client, pool):
-    """Make calls at the same time; returns which were answered."""
-    asked = [pool.submit(call, client, '/together', 2) for _ in range(OPEN)]
-    return [one.result().is_ok() for one in asked]
+    """Send requests at the same time; returns which were answered."""
+    futures = [
+        pool.submit(call, client, '/together', 2) for _ in range(CONNECTIONS)
+    ]
+    return [future.result().is_ok() for future in futures]
 
 
-def test_one_call_finds_out_that_all_connections_are_silent(case):
-    client, between, _, pool = open_client(case)
-    case.assertEqual(call_together(client, pool), [True] * OPEN)
-    between.hush()
+def test_one_timeout_drops_all_silent_connections(case):
+    client, link_relay, _, pool = open_client(case)
+    case.assertEqual(call_together(client, pool), [True] * CONNECTIONS)
+    link_relay.hush()
     case.assertTrue(call(client, '/', 0.2).is_err())
-    case.assertEqual(call_together(client, pool), [True] * OPEN)
+    case.assertEqual(call_together(client, pool), [True] * CONNECTIONS)
 
 
-def test_answer_that_is_waited_for_outlives_another_calls_time_limit(case):
+def test_timeout_of_one_call_keeps_a_connection_in_use(case):
     client, _, app, pool = open_client(case)
     held = pool.submit(call, client, '/held')
     app.held.wait(10)
     case.assertTrue(call(client, '/held', 0.1).is_err())
-    app.let_go.set()
+    app.released.set()
     case.assertTrue(held.result().is_ok())
--- a/packages/platform/portwharf/platform/kv_test.py
+++ b/packages/platform/portwharf/platform/kv_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's store does what portwharf's own interface promises."""
+"""The platform's store fulfils the contract of ``store.LeaseStore``."""
 
 from portwharf.core import settings
 from portwharf.platform import kv
@@ -13,14 +13,14 @@
 
 
 def open_store(case):
-    """Return the real adapter on a stand-in, and the stand-in."""
+    """Return a client of a stand-in store, and the stand-in."""
     standin = platform_store.PlatformStoreStandIn()
     port = fixtures.serve(case, standin)
-    place = settings.Endpoint('127.0.0.1', port)
-    return case.enterContext(kv.PlatformStore(place)), standin
+    endpoint = settings.Endpoint('127.0.0.1', port)
+    return case.enterContext(kv.PlatformStore(endpoint)), standin
 
 
-def test_key_is_made_once(case):
+def test_key_is_created_once(case):
     client, _ = open_store(case)
     case.assertTrue(client.swap('a', b'\0\xff', 0).ok_value.done)
     case.assertFalse(client.swap('a', b'other', 0).ok_value.done)
@@ -64,7 +64,7 @@
     case.assertEqual([e.key for e in left], ['log/0', 'log/4'])
 
 
-def test_watch_gives_the_change(case):
+def test_watch_returns_the_changed_entry(case):
     client, standin = open_store(case)
     entry = client.swap('a', b'1', 0).ok_value
     standin.set_item('a', 'Mg==')
@@ -72,7 +72,7 @@
     case.assertEqual(found.ok_value.value, b'2')
 
 
-def test_watch_goes_on_from_the_last_look(case):
+def test_watch_begins_at_the_revision_of_the_last_read(case):
     client, standin = open_store(case)
     entry = client.swap('a', b'1', 0).ok_value
     standin.set_item('other', '')
@@ -83,7 +83,7 @@
     case.assertEqual(standin.calls[-1], 'kv-watch')
 
 
-def test_forgotten_history_asks_for_another_look(case):
+def test_dropped_history_ends_the_watch(case):
     client, standin = open_store(case)
     standin.faults.history = 10**6
     found = client.wait_for_change('a', 3, 0.05)
@@ -91,7 +91,7 @@
     case.assertIsNone(found.ok_value)
 
 
-def test_lease_takes_its_keys_along(case):
+def test_keys_are_deleted_with_their_lease(case):
     client, standin = open_store(case)
     lease = client.open_lease(5).ok_value
     client.put('a', b'1', lease)
@@ -101,7 +101,7 @@
     case.assertIsNone(client.read('a').ok_value)
 
 
-def test_shard_log_lives_in_it(case):
+def test_shard_log_works_on_the_store(case):
     client, standin = open_store(case)
     log = shardlog.ShardLog(client, 0)
     case.assertTrue(log.read().ok_value.empty)
@@ -111,20 +111,20 @@
     case.assertEqual(log.append([event]).ok_value, 1)
     standin.faults.lost = False
     case.assertTrue(log.check_head().ok_value)
-    rival = shardlog.ShardLog(client, 0)
-    rival.read()
-    rival.append([event])
+    rival_log = shardlog.ShardLog(client, 0)
+    rival_log.read()
+    rival_log.append([event])
     case.assertIsInstance(log.append([event]).err_value, shardlog.Deposed)
     case.assertEqual(
         len(shardlog.ShardLog(client, 0).read().ok_value.batches), 3
     )
 
 
-def test_silent_watch_is_made_up_for_before_the_rules_bind_again(case):
-    noticed = kv.WATCH_SECONDS + kv.CALL_SECONDS
-    read_again = noticed + 1.5 * configuration.RETRY_SECONDS
-    # Of the platform's bounds: contactMs.
-    case.assertLess(read_again, 3.0)
+def test_lost_watch_is_replaced_within_the_contact_limit(case):
+    noticed_seconds = kv.WATCH_SECONDS + kv.CALL_SECONDS
+    read_again_seconds = noticed_seconds + 1.5 * configuration.RETRY_SECONDS
+    # The platform's contact limit, contactMs in its bounds.
+    case.assertLess(read_again_seconds, 3.0)
 
 
 def test_names_are_listed_over_all_pages(case):
@@ -136,7 +136,7 @@
     case.assertEqual([key[-1] for key in names.keys], list('01234567'))
 
 
-def test_watch_of_names_sees_what_is_written_and_what_goes(case):
+def test_watch_of_names_reports_writes_and_deletions(case):
     client, standin = open_store(case)
     empty = client.list_names('zones/').ok_value
     standin.set_item('zones/a', '')
@@ -149,7 +149,7 @@
     case.assertEqual(changed.ok_value.revision, 0)
 
 
-def test_watch_of_names_without_a_change_says_up_to_when(case):
+def test_unchanged_watch_of_names_returns_a_later_revision(case):
     client, standin = open_store(case)
     empty = client.list_names('zones/').ok_value
     standin.set_item('other', '')
@@ -157,7 +157,7 @@
     case.assertGreater(found.revision, empty.revision)
 
 
-def test_names_are_read_anew_after_history_is_forgotten(case):
+def test_names_are_reported_changed_after_dropped_history(case):
     client, standin = open_store(case)
     standin.faults.history = 10**6
     found = client.wait_for_names('zones/', 3, 0.05)
--- a/packages/platform/portwharf/platform/lost_ended_attempts_test.py
+++ b/packages/platform/portwharf/platform/lost_ended_attempts_test.py
@@ -1,22 +1,22 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A step whose tasks are done is not begun again and again.
-
-What users saw: a job of two steps stood still until the end of the day, with
-most of the room free. All tasks of its first step had ended as done, as far
-as their workers had been told, and the second step never began.
-
-The order of events: in a wave 28 of 81 workers crashed and began again within
-half a second, under their ids, some for the third time. Each had acknowledged
-dozens of ends before. The job came at that moment. Thirty tasks of its first
-step were told to be gone just as they ended, up to seven times each, and most
-of what was begun again went to such workers as well, until their numbers had
-passed those of the former life.
-
-The evidence: "attempt is gone, not listed any more" 90 times for the one step,
-from 3 to 37 s after the last worker had begun; each as the attempt came to its
-end, attempt 4 of the last task at 101.5 s and attempt 5 at 108.8 s. The cause
-is that of ``rebirth_test``; what it costs a job is here.
+"""A step whose tasks have succeeded is not started again and again.
+
+Failure: a job of two steps made no progress until the end of the day, although
+most of the capacity was free. All tasks of its first step had succeeded on
+their workers, and the second step never started.
+
+Sequence: 28 of 81 workers crashed and restarted within half a second with the
+same instance ids, some for the third time. Dozens of ended attempts had been
+acknowledged to each before. The job was submitted at that moment. Thirty tasks
+of its first step were reported as gone just as they ended, up to seven times
+each. Most of their next attempts were placed on such workers again, until the
+workers' end numbers had exceeded those of the former life.
+
+Evidence: "attempt is gone, not listed any more" was logged 90 times for this
+step, from 3 to 37 s after the last worker had restarted, each time as the
+attempt ended: attempt 4 of the last task at 101.5 s, attempt 5 at 108.8 s. The
+cause is described in ``rebirth_test``; this module tests the effect on a job.
 """
 
 from unittest import mock
@@ -34,25 +34,25 @@
 
 
 def open_side(case, ends):
-    """Return a side that has acknowledged so many ends, and its runner."""
-    one = rebirth_test.Runner(case)
-    bench = agent_bench.Bench(one.client)
+    """Return a side that has acknowledged ended attempts, and its runner."""
+    side = rebirth_test.Runner(case)
+    bench = agent_bench.Bench(side.client)
     bench.grant()
     bench.step(1)
     for number in range(ends):
         task = f'5c0e7a21d94b36f8.0.0.{number}'
-        run(bench, one, task, 1)
+        run_attempt(bench, side, task, 1)
         ref = messages.TaskRef(task, 1)
         bench.agent.command(bench.conn, messages.ForgetTasks([ref]))
         bench.step(1)
-    return bench, one
+    return bench, side
 
 
-def run(bench, one, task, attempt):
-    """Run an attempt to its end; returns the ends that the owner is told."""
+def run_attempt(bench, side, task, attempt):
+    """Run an attempt; returns the final states reported to the owner."""
     bench.grant()
     bench.start(task, attempt)
-    one.standin.end_run(task)
+    side.standin.end_run(task)
     bench.conn.take(messages.Reports)
     bench.step(1)
     return [
@@ -63,43 +63,45 @@
     ]
 
 
-def test_task_on_a_reborn_runner_is_done_when_it_is_done(case):
-    bench, one = open_side(case, ends=4)
-    one.begin_anew()
-    one.hear()
+def test_task_that_succeeds_on_a_restarted_runner_is_reported(case):
+    bench, side = open_side(case, ends=4)
+    side.restart()
+    side.deliver_heartbeat()
     bench.step(1)
-    told = run(bench, one, TASK, 1)
-    case.assertEqual(told, [data.RunState.SUCCEEDED])
+    reported = run_attempt(bench, side, TASK, 1)
+    case.assertEqual(reported, [data.RunState.SUCCEEDED])
 
 
-def test_nothing_begins_by_a_list_that_was_looked_past(case):
-    """A start without an answer is followed up by a look of its own.
+def test_no_start_is_based_on_an_outdated_listing(case):
+    """A start without a response is followed by another request.
 
-    It may find the next life, while the agent still goes by the list before:
-    a start then has a time on the former life's clock.
+    Its response may come from the next life while the agent still uses the
+    former listing. A start then has a time on the former life's clock.
     """
-    bench, one = open_side(case, ends=0)
-    stop = one.client.stop
+    bench, side = open_side(case, ends=0)
+    stop = side.client.stop
 
-    def stop_and_be_born(*args):
+    def stop_and_restart(*args):
         answer = stop(*args)
-        one.begin_anew()
-        one.hear()
+        side.restart()
+        side.deliver_heartbeat()
         return answer
 
-    lost = mock.patch.object(one.client, 'start', lambda _: result.Err('lost'))
-    birth = mock.patch.object(one.client, 'stop', stop_and_be_born)
-    with lost, birth:
+    lost = mock.patch.object(
+        side.client, 'start', lambda _: result.Err('lost')
+    )
+    restart_on_stop = mock.patch.object(side.client, 'stop', stop_and_restart)
+    with lost, restart_on_stop:
         bench.agent.command(bench.conn, make_start(TASK))
         bench.agent.step()
     bench.agent.command(bench.conn, make_start(OTHER))
     bench.agent.step()
-    case.assertEqual(one.standin.running, {})
+    case.assertEqual(side.standin.running, {})
     case.assertIn(workers.REFUSED_UNHEARD, bench.list_refused())
 
 
 def make_start(task):
-    """Return an owner's order to begin a task."""
+    """Return an owner's order to start a task."""
     return messages.StartTask(
         3, task, 1, exclusive=True, resources=agent_bench.SIZE
     )
--- a/packages/platform/portwharf/platform/malformed_input_test.py
+++ b/packages/platform/portwharf/platform/malformed_input_test.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""What others write is read whole or refused, whatever it is.
+"""Malformed input from other programs is refused or read completely.
 
-Valid examples with one field, or one item of a list, in the place of which
-anything may stand that JSON can carry. What is refused is refused with a
-reason; what is taken can be written to the log and read again: a job that
-could not would keep every process from reading the shard's log.
+Each test takes a valid example and replaces one field or list item by an
+arbitrary JSON value. Refused input has a reason. Accepted input can be written
+to the log and read again; a job that could not be read would keep every
+process from reading the shard's log.
 """
 
 import copy
@@ -49,7 +49,7 @@
     'initialMs': 1_790_000_000_000,
     'intervalMs': 1000,
 }
-BEAT = {
+HEARTBEAT = {
     'service': 'pool',
     'zone': 'zone',
     'state': 'ready',
@@ -81,15 +81,15 @@
         }
     ],
 }
-_PLAIN = (
+_SCALARS = (
     strategies.none()
     | strategies.booleans()
     | strategies.integers(-(2**80), 2**80)
     | strategies.floats()
     | strategies.text(strategies.characters(exclude_categories=()))
 )
-ANYTHING = strategies.recursive(
-    _PLAIN,
+ANY_JSON = strategies.recursive(
+    _SCALARS,
     lambda inner: (
         strategies.lists(inner, max_size=3)
         | strategies.dictionaries(strategies.text(), inner, max_size=3)
@@ -98,35 +98,35 @@
 )
 
 
-def list_places(value, path=()):
-    """Return the paths of all that a value is made of."""
+def list_paths(value, path=()):
+    """Return the paths of a value and of all values in it."""
     found = [path]
     items = value.items() if isinstance(value, dict) else ()
     if isinstance(value, list):
         items = enumerate(value)
     for key, inner in items:
-        found += list_places(inner, (*path, key))
+        found += list_paths(inner, (*path, key))
     return found
 
 
 def change(value, path, item):
-    """Return a value with another item, or none if it is left out."""
+    """Return a copy of a value with another item at a path."""
     if not path:
         return item
     changed = copy.deepcopy(value)
-    place = changed
+    parent = changed
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = item
+        parent = parent[key]
+    parent[path[-1]] = item
     return changed
 
 
-def for_odd(example, examples=700):
-    """Return a decorator: call with odd variants of a valid example."""
+def for_variants(example, examples=700):
+    """Return a decorator that runs a check on variants of an example."""
 
     def decorate(check):
-        paths = strategies.sampled_from(list_places(example))
-        tried = hypothesis.given(paths, ANYTHING)(
+        paths = strategies.sampled_from(list_paths(example))
+        check_variant = hypothesis.given(paths, ANY_JSON)(
             lambda path, item: check(change(example, path, item))
         )
         limits = hypothesis.settings(
@@ -135,15 +135,15 @@
             deadline=None,
             database=None,
         )
-        return limits(tried)
+        return limits(check_variant)
 
     return decorate
 
 
-def test_job_is_refused_or_can_be_logged(case):
+def test_job_is_refused_or_loggable(case):
     case.assertTrue(decoding.parse_job(JOB_ID, QUEUE, JOB).is_ok())
 
-    @for_odd(JOB)
+    @for_variants(JOB)
     def check(value):
         read = decoding.parse_job(JOB_ID, QUEUE, value)
         if read.is_err():
@@ -155,11 +155,11 @@
     check()
 
 
-def test_configuration_is_refused_or_taken_whole(case):
+def test_configuration_is_refused_or_accepted(case):
     text = json.dumps(CONFIG)
     case.assertEqual(len(decoding.parse_config(text, 1).ok_value.queues), 1)
 
-    @for_odd(CONFIG)
+    @for_variants(CONFIG)
     def check(value):
         read = decoding.parse_config(json.dumps(value), 1)
         if read.is_ok():
@@ -170,18 +170,18 @@
     check()
 
 
-def test_heartbeat_is_refused_or_taken(case):
-    taken = []
-    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(taken.append))
+def test_heartbeat_is_refused_or_accepted(case):
+    accepted = []
+    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(accepted.append))
     path = '/portwharf/instances/i-7/heartbeat'
 
-    @for_odd(BEAT)
+    @for_variants(HEARTBEAT)
     def check(value):
-        taken.clear()
+        accepted.clear()
         answer = pool.request('POST', path, json.dumps(value))
         case.assertIn(answer.status, (200, 400))
-        case.assertEqual(len(taken), answer.status == 200)
-        for life in taken:
+        case.assertEqual(len(accepted), answer.status == 200)
+        for life in accepted:
             lives = workers.Lives()
             lives.offer(life)
             lives.settle(life.id)
@@ -191,10 +191,10 @@
     check()
 
 
-def test_list_is_refused_or_has_its_types(case):
+def test_lists_are_refused_or_have_valid_types(case):
     runner_lists.check_lists(LISTS)
 
-    @for_odd(LISTS)
+    @for_variants(LISTS)
     def check(value):
         try:
             runner_lists.check_lists(value)
@@ -210,16 +210,16 @@
     check()
 
 
-def test_refusal_names_the_field(case):
-    odd = {**JOB, 'steps': [{**STEP, 'requires': 5}]}
-    problem = decoding.parse_job(JOB_ID, QUEUE, odd).err_value
+def test_error_names_the_field(case):
+    malformed = {**JOB, 'steps': [{**STEP, 'requires': 5}]}
+    problem = decoding.parse_job(JOB_ID, QUEUE, malformed).err_value
     case.assertIn('"requires" is 5, not a string', problem.describe())
-    odd = {**JOB, 'steps': [{**STEP, 'watchRev': [3]}]}
-    problem = decoding.parse_job(JOB_ID, QUEUE, odd).err_value
+    malformed = {**JOB, 'steps': [{**STEP, 'watchRev': [3]}]}
+    problem = decoding.parse_job(JOB_ID, QUEUE, malformed).err_value
     case.assertIn('"watchRev"', problem.describe())
 
 
-def test_what_is_left_out_has_its_default(case):
+def test_missing_field_has_its_default(case):
     case.assertEqual(json_fields.read_int({}, 'a'), 0)
     case.assertEqual(json_fields.read_int({'a': None}, 'a', 0, 7), 7)
     case.assertEqual(json_fields.read_str({}, 'a'), '')
--- a/packages/platform/portwharf/platform/programs.py
+++ b/packages/platform/portwharf/platform/programs.py
@@ -119,7 +119,7 @@
         )
         self._serve(self._boot.readiness, ready, 2)
         enter(web.Server(vm.address, self._boot.pages_port, pages, 1))
-        LOG.info('entry started', extra=logs.fields(vm=vm.name))
+        LOG.info('entry begins', extra=logs.fields(vm=vm.name))
 
     def _serve(self, endpoint, app, threads):
         server = web.Server(endpoint.address, endpoint.port, app, threads)
--- a/packages/platform/portwharf/platform/programs_test.py
+++ b/packages/platform/portwharf/platform/programs_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""An entry that is asked to stop answers all that comes, in its time."""
+"""A stopping entry answers all calls before its grace time is over."""
 
 import base64
 import contextlib
@@ -35,33 +35,33 @@
         }
     ],
 }
-# Answers are due half a second after a stop was asked for.
+# Answers are due half a second after the stop request.
 GRACE_SECONDS = 2
 LIMIT_SECONDS = 20
-STARTED = (b'in force', b'entry started')
+STARTED = (b'in force', b'entry begins')
 
 
 def find_port():
-    """Return a port of this machine that is free."""
-    with socket.create_server(('127.0.0.1', 0)) as one:
-        return one.getsockname()[1]
+    """Return a free port of this machine."""
+    with socket.create_server(('127.0.0.1', 0)) as listener:
+        return listener.getsockname()[1]
 
 
 @contextlib.contextmanager
 def start_entry(case):
-    """Start an entry whose owner is gone; yields process and its port."""
+    """Start an entry without an owner; yields its process and port."""
     store = platform_store.PlatformStoreStandIn()
     raw = base64.b64encode(json.dumps(CONFIG).encode())
     store.set_item('op/config', raw.decode())
     store_port = fixtures.serve(case, store, threads=16)
-    port, ready, inner = find_port(), find_port(), find_port()
+    port, ready, internal = find_port(), find_port(), find_port()
     text = f"""
 node = "entry-0"
 role = "entry"
 serves = ["front"]
 ip = "127.0.0.1"
 zone = "zone-0"
-internalPorts = [{inner}, {inner + 5}]
+internalPorts = [{internal}, {internal + 5}]
 [listen]
 front = "127.0.0.1:{port}"
 ready = "127.0.0.1:{ready}"
@@ -85,7 +85,7 @@
 
 
 def wait_for_lines(program, texts):
-    """Read what a program prints until each text was in a line."""
+    """Read a program's output until each text was in a line."""
     missing = set(texts)
     for line in program.stdout:
         missing = {text for text in missing if text not in line}
@@ -98,13 +98,13 @@
     return http.client.HTTPConnection('127.0.0.1', port, LIMIT_SECONDS)
 
 
-def test_call_that_waits_when_an_entry_ends_gets_its_answer(case):
+def test_call_in_progress_at_a_stop_is_answered(case):
     with start_entry(case) as (program, port):
         conn = open_connection(port)
         conn.request('GET', PATH, headers=HEADERS)
         case.assertEqual(conn.getresponse().read()[:8], b'{"error"')
         program.send_signal(signal.SIGTERM)
-        # Kept open, with a call that nobody can carry out in time.
+        # The connection stays open, and no owner can answer the call.
         conn.request('GET', PATH, headers=HEADERS)
         answer = conn.getresponse()
         case.assertEqual(answer.status, 503)
@@ -114,7 +114,7 @@
         case.assertEqual(program.wait(LIMIT_SECONDS), 0)
 
 
-def test_idle_connection_is_closed_and_the_entry_ends_by_itself(case):
+def test_idle_connection_is_closed_and_the_entry_exits(case):
     with start_entry(case) as (program, port):
         conn = open_connection(port)
         conn.request('GET', PATH, headers=HEADERS)
--- a/packages/platform/portwharf/platform/runner_test.py
+++ b/packages/platform/portwharf/platform/runner_test.py
@@ -1,6 +1,6 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A runner obeys as portwharf's own worker does."""
+"""The runner's client fulfils the contract of ``workers.Worker``."""
 
 import threading
 import time
@@ -18,7 +18,7 @@
 
 
 def open_runner(case, token=7):
-    """Return the real adapter on a stand-in, and the stand-in."""
+    """Return a client of a stand-in runner, and the stand-in."""
     standin, place = platform_runner.serve_runner(case)
     client = runner.RunnerWorker(place, lambda: token, 6000)
     client.record_heartbeat(make_life())
@@ -27,20 +27,20 @@
 
 
 def make_life(instance='i-1', **fields):
-    """Return what a heartbeat says of the life of a number."""
+    """Return the ``workers.Life`` that a heartbeat describes."""
     born_ms = platform_runner.FIRST_BORN_MS + int(instance[2:]) - 1
     life = data.LifeId(instance, born_ms)
     return workers.Life(life, 'pool', 'zone', SIZE, ['a'], **fields)
 
 
 def start(client, attempt=1, task=TASK):
-    """Start an attempt for some seconds."""
+    """Start an attempt with a lease of some seconds."""
     until = int(time.monotonic() * 1000) + 5000
-    message = workers.Start(task, attempt, argument=b'spec', resources=SIZE)
-    message.lease_until_ms = until
-    asked = client.read_listing()
-    message.life = asked.map(lambda listing: listing.life).unwrap_or(LIFE)
-    return client.start(message)
+    order = workers.Start(task, attempt, argument=b'spec', resources=SIZE)
+    order.lease_until_ms = until
+    answer = client.read_listing()
+    order.life = answer.map(lambda listing: listing.life).unwrap_or(LIFE)
+    return client.start(order)
 
 
 def list_states(client):
@@ -49,7 +49,7 @@
     return [str(attempt.state) for attempt in listing.attempts]
 
 
-def test_listing_tells_what_heartbeat_and_runner_say(case):
+def test_listing_combines_heartbeat_and_runner_lists(case):
     client, _ = open_runner(case)
     case.assertEqual(start(client).ok_value, '')
     listing = client.read_listing().ok_value
@@ -67,24 +67,24 @@
     case.assertEqual(standin.orders, [])
 
 
-def test_start_with_an_answer_that_says_nothing_may_run(case):
+def test_start_with_a_server_error_may_run(case):
     client, standin = open_runner(case)
     standin.lose_answers = 1
     case.assertTrue(start(client).is_err())
     case.assertIn(TASK, standin.running)
 
 
-def test_ticket_is_brought_and_its_refusal_is_sound(case):
+def test_refused_ticket_says_nothing_against_the_worker(case):
     client, standin = open_runner(case)
     standin.ticket = 'right'
     until = int(time.monotonic() * 1000) + 5000
-    message = workers.Start(TASK, 1, argument=b'spec', lease_until_ms=until)
-    message.life = LIFE
-    message.ticket = 'wrong'
-    refused = client.start(message).ok_value
+    order = workers.Start(TASK, 1, argument=b'spec', lease_until_ms=until)
+    order.life = LIFE
+    order.ticket = 'wrong'
+    refused = client.start(order).ok_value
     case.assertIn(refused, workers.SOUND_REFUSALS)
-    message.ticket = 'right'
-    case.assertEqual(client.start(message).ok_value, '')
+    order.ticket = 'right'
+    case.assertEqual(client.start(order).ok_value, '')
 
 
 def test_start_twice_is_one_run_and_an_ended_one_is_old(case):
@@ -95,7 +95,7 @@
     case.assertEqual(start(client).ok_value, workers.REFUSED_OLD)
 
 
-def test_stop_of_what_is_not_there_keeps_it_from_beginning(case):
+def test_stopped_attempt_cannot_be_started_later(case):
     client, _ = open_runner(case)
     case.assertTrue(client.stop(TASK, 1, True).is_ok())
     case.assertEqual(start(client).ok_value, workers.REFUSED_OLD)
@@ -138,7 +138,7 @@
     case.assertEqual(acked[-1], 0)
 
 
-def test_how_runs_end(case):
+def test_end_states_are_translated(case):
     client, standin = open_runner(case)
     ends = {
         'done': 'succeeded',
@@ -155,33 +155,33 @@
         case.assertEqual((found.state, found.checkpoint), (state, 'kept'))
 
 
-def test_runner_that_is_gone_runs_nothing(case):
+def test_unreachable_runner_has_an_absent_listing(case):
     client = runner.RunnerWorker(
         settings.Endpoint('127.0.0.1', 1), lambda: 7, 6000
     )
     case.assertTrue(client.read_listing().ok_value.absent)
 
 
-def test_end_is_told_at_once(case):
+def test_end_is_notified_at_once(case):
     client, standin = open_runner(case)
-    told = threading.Event()
-    client.follow(told.set)
+    notified = threading.Event()
+    client.follow(notified.set)
     case.enterContext(client)
     start(client)
     standin.end_run(TASK)
-    case.assertTrue(told.wait(10))
+    case.assertTrue(notified.wait(10))
 
 
-def test_draining_is_told_at_once(case):
+def test_draining_is_notified_at_once(case):
     client, _ = open_runner(case)
-    told = threading.Event()
-    client.follow(told.set)
+    notified = threading.Event()
+    client.follow(notified.set)
     client.record_heartbeat(make_life(draining=True, leaves_in_ms=2500))
-    case.assertTrue(told.is_set())
+    case.assertTrue(notified.is_set())
     case.assertEqual(client.read_listing().ok_value.leaves_in_ms, 2500)
 
 
-def test_former_sides_attempt_is_listed_with_what_it_holds(case):
+def test_attempt_of_a_former_side_is_listed_with_its_resources(case):
     client, standin = open_runner(case)
     standin.running[TASK] = 1
     client.recall(workers.Start(TASK, 1, workload='a/b', resources=SIZE))
@@ -189,7 +189,7 @@
     case.assertEqual((attempt.workload, attempt.resources), ('a/b', SIZE))
 
 
-def test_what_runs_holds_its_room_however_many_begin_after_it(case):
+def test_resources_of_a_running_attempt_are_never_dropped(case):
     client, _ = open_runner(case)
     start(client)
     client.read_listing()
@@ -212,7 +212,7 @@
     case.assertTrue(client.stop(TASK, 1, True).is_ok())
 
 
-def test_late_heartbeat_that_is_the_first_one_hides_nothing(case):
+def test_late_first_heartbeat_hides_no_attempt(case):
     _, place = platform_runner.serve_runner(case)
     former = runner.RunnerWorker(place, lambda: 7, 6000)
     former.record_heartbeat(make_life())
@@ -233,7 +233,7 @@
     case.assertTrue(client.read_listing().ok_value.draining)
 
 
-def test_new_life_whose_confirmation_is_lost_is_asked_again(case):
+def test_new_life_without_a_response_is_asked_again(case):
     client, standin = open_runner(case)
     start(client)
     standin.begin_life('i-2')
@@ -245,15 +245,15 @@
     case.assertEqual(listing.attempts, [])
 
 
-def test_first_heartbeat_is_asked_about_at_once(case):
+def test_heartbeat_of_a_new_life_is_notified_at_once(case):
     client, _ = open_runner(case)
-    told = threading.Event()
-    client.follow(told.set)
+    notified = threading.Event()
+    client.follow(notified.set)
     client.record_heartbeat(make_life('i-2'))
-    case.assertTrue(told.is_set())
+    case.assertTrue(notified.is_set())
 
 
-def test_ends_that_are_seen_before_a_life_is_known_are_not_acknowledged(case):
+def test_ends_of_an_unidentified_life_are_not_acknowledged(case):
     standin, place = platform_runner.serve_runner(case)
     former = runner.RunnerWorker(place, lambda: 7, 6000)
     former.record_heartbeat(make_life())
@@ -271,14 +271,14 @@
     case.assertEqual(list_states(client), ['succeeded'])
 
 
-def test_nothing_begins_on_a_life_that_is_heard_to_leave(case):
+def test_nothing_starts_on_a_draining_life(case):
     client, standin = open_runner(case)
     client.record_heartbeat(make_life(draining=True))
     case.assertEqual(start(client).ok_value, workers.REFUSED_LEAVING)
     case.assertEqual(standin.running, {})
 
 
-def test_nothing_begins_before_a_life_is_known(case):
+def test_nothing_starts_before_the_life_is_identified(case):
     standin, place = platform_runner.serve_runner(case)
     client = runner.RunnerWorker(place, lambda: 7, 6000)
     client.record_heartbeat(make_life('i-0'))
@@ -287,8 +287,8 @@
     case.assertEqual(standin.running, {})
 
 
-def test_what_is_told_before_a_life_is_known_outlasts_its_confirmation(case):
-    """A restarted side hears its owner before the runner's heartbeat."""
+def test_starts_recalled_before_the_first_heartbeat_are_kept(case):
+    """A restarted side may hear its owner before the runner."""
     standin, place = platform_runner.serve_runner(case)
     standin.running[TASK] = 1
     client = runner.RunnerWorker(place, lambda: 7, 6000)
@@ -298,11 +298,11 @@
     case.assertEqual((attempt.workload, attempt.resources), ('a/b', SIZE))
 
 
-def test_late_heartbeat_of_a_former_life_costs_no_sizes(case):
-    """A heartbeat that a cut held up may come after those of the next life.
+def test_late_heartbeat_of_a_former_life_keeps_resources(case):
+    """A heartbeat may be delayed until after those of the next life.
 
-    Whatever it says, what runs holds its room, and nobody tells its size
-    again on this connection.
+    It must not change the resources that running attempts hold, as the owner
+    does not send them again on the same connection.
     """
     client, _ = open_runner(case)
     start(client)
--- a/packages/platform/portwharf/platform/runner_walk_test.py
+++ b/packages/platform/portwharf/platform/runner_walk_test.py
@@ -1,11 +1,11 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A random walk of a side's client beside a runner that is born again.
+"""A random walk of a runner's client while the runner restarts.
 
-Heartbeats come late, answers are lost, connections break, and each life has
-the id of the one before it. Whatever comes: no end is acknowledged that was
-not logged, none that is listed is passed over, and no lease is longer than
-was meant.
+Heartbeats come late, responses are lost, connections break, and each life has
+the instance id of the life before it. Invariants: no ended attempt is
+acknowledged before it is logged, no listed one is ignored, and no lease is
+longer than intended.
 """
 
 import random
@@ -24,24 +24,24 @@
 SEEDS = 200
 STEPS = 120
 LEASE_MS = 4000
-# What may pass between the list that a lease is reckoned by and its order.
+# Longest time from the listing that a lease is based on to its order.
 SLACK_MS = 1000
 STEP_MS = 50
 
 
-class Broken(AssertionError):
-    """Something that must always hold did not."""
+class InvariantError(AssertionError):
+    """An invariant was violated."""
 
 
 class Runner(platform_runner.RunnerStandIn):
-    """A runner that is called by hand, and notes what may go."""
+    """A runner with a manual clock that records what is acknowledged."""
 
     def __init__(self):
         self.now_ms = 0
-        self.noted = set()
-        self.loses = 0
-        # What it says of its birth, if not the truth.
-        self.told_ms = None
+        self.acknowledged = set()
+        self.lost_replies = 0
+        # The birth time that it reports, None for the true one.
+        self.reported_born_ms = None
         super().__init__()
 
     def begin_life(self, instance):
@@ -52,24 +52,24 @@
         return self.now_ms
 
     def answer(self, path, body, meant):
-        """Carry out a call; returns its ``http_client.Reply``."""
+        """Carry out a request; returns its ``http_client.Reply``."""
         until = body.get('untilMs', 0)
         if (
             meant == self.instance
             and until > self.now_ms + LEASE_MS + SLACK_MS
         ):
-            raise Broken(f'a lease until {until} at {self.now_ms}')
+            raise InvariantError(f'a lease until {until} at {self.now_ms}')
         verb = path.removeprefix('/portwharf/')
         before = {(row[1], row[2]) for row in self.ended}
         status, value = self._obey(verb, body, meant)
-        self.noted |= before - {(row[1], row[2]) for row in self.ended}
+        self.acknowledged |= before - {(row[1], row[2]) for row in self.ended}
         if 'born' in value:
-            value['born'] = self.told_ms or self.born_ms
+            value['born'] = self.reported_born_ms or self.born_ms
         return http_client.Reply(status, {**value, 'clockMs': self.now_ms})
 
 
 class Connection:
-    """A connection to the life that was there when it was opened."""
+    """A connection to the life that ran when it was opened."""
 
     def __init__(self, standin):
         self._standin = standin
@@ -77,156 +77,178 @@
 
     @property
     def is_open(self):
-        """Whether its life is still there."""
+        """Whether its life still runs."""
         return self._born_ms == self._standin.born_ms
 
     def open(self, seconds):
-        """Connect to whichever life is there."""
+        """Connect to the current life."""
         self._born_ms = self._standin.born_ms
         return result.Ok(None)
 
     def close(self):
-        """End it."""
+        """Close the connection."""
         self._born_ms = None
 
     def call(self, method, path, seconds, body, headers):
-        """Have a call carried out, unless the life is another one."""
+        """Send a request, unless its life has ended."""
         if not self.is_open:
             return result.Err(http_client.NoReply('reset', sent=True))
         meant = headers.get('Portwharf-Target-Instance', '')
         standin = self._standin
         reply = standin.answer(path, body, meant or standin.instance)
-        if standin.loses:
-            standin.loses -= 1
+        if standin.lost_replies:
+            standin.lost_replies -= 1
             self.close()
             return result.Err(http_client.NoReply('lost', sent=True))
         return result.Ok(reply)
 
 
 class Walk:
-    """One walk, by its seed."""
+    """One walk, determined by its seed."""
 
-    def __init__(self, seed, told_ms=None):
+    def __init__(self, seed, reported_born_ms=None):
         self.random = random.Random(seed)
         self.standin = Runner()
-        self.standin.told_ms = told_ms
+        self.standin.reported_born_ms = reported_born_ms
         self.client = runner.RunnerWorker(self.standin, lambda: 7, 6000)
-        self.beats = []
+        self.heartbeats = []
         self.listing = workers.Listing()
         self.logged = set()
         self.tasks = 0
 
     def run(self):
-        """Walk; raises :class:`Broken`."""
-        self.hear()
+        """Run all steps.
+
+        :raises InvariantError: an invariant was violated
+        """
+        self.deliver_heartbeat()
         for _ in range(STEPS):
             self.standin.now_ms += STEP_MS
             self.random.choice(ACTIONS)(self)
-            strange = self.standin.noted - self.logged
-            if strange:
-                raise Broken(f'acknowledged and never logged: {strange}')
-
-    def hear(self):
-        """A heartbeat comes."""
+            unlogged = self.standin.acknowledged - self.logged
+            if unlogged:
+                raise InvariantError(
+                    f'acknowledged and never logged: {unlogged}'
+                )
+
+    def deliver_heartbeat(self):
+        """Deliver a heartbeat."""
         standin = self.standin
-        body = standin.make_beat(born=standin.told_ms or standin.born_ms)
-        self.beats.append(body)
+        body = standin.make_beat(
+            born=standin.reported_born_ms or standin.born_ms
+        )
+        self.heartbeats.append(body)
         self.client.record_heartbeat(beats.parse_life('i-1', body))
 
-    def hear_late(self):
-        """A heartbeat comes once more, maybe of a life that is over."""
-        body = self.random.choice(self.beats)
+    def deliver_late_heartbeat(self):
+        """Deliver an earlier heartbeat again, possibly of a former life."""
+        body = self.random.choice(self.heartbeats)
         self.client.record_heartbeat(beats.parse_life('i-1', body))
 
-    def look(self):
-        """Read the list, and log what it shows to have ended.
+    def read_listing(self):
+        """Read the listing, and log the ended attempts in it.
 
-        :returns: whether there was one
+        :returns: whether there was a listing
         """
-        asked = self.client.read_listing()
-        if asked.is_err():
+        answer = self.client.read_listing()
+        if answer.is_err():
             return False
-        self.listing = asked.ok_value
-        seen = {
+        self.listing = answer.ok_value
+        ended = {
             (one.task, one.attempt)
             for one in self.listing.attempts
             if one.state != data.RunState.RUNNING
         }
-        there = {(row[1], row[2]) for row in self.standin.ended}
-        if there - seen - self.logged:
-            raise Broken(f'passed over: {there - seen - self.logged}')
-        self.logged |= seen
+        listed = {(row[1], row[2]) for row in self.standin.ended}
+        if listed - ended - self.logged:
+            raise InvariantError(
+                f'passed over: {listed - ended - self.logged}'
+            )
+        self.logged |= ended
         return True
 
     def start(self):
-        """Begin an attempt, by what the last list says."""
+        """Start an attempt, based on the last listing."""
         self.tasks += 1
         start = workers.Start(f'5c0e7a21d94b36f8.0.0.{self.tasks}', 1)
         start.lease_until_ms = self.listing.now_ms + LEASE_MS
         start.life = self.listing.life
         self.client.start(start)
 
-    def look_past(self):
-        """Look for another reason; starts go by the list before."""
+    def read_unused_listing(self):
+        """Read a listing that later starts are not based on."""
         self.client.read_listing()
 
     def renew(self):
-        """Look, and renew the leases by it."""
-        if self.look():
+        """Read the listing, and renew the leases based on it."""
+        if self.read_listing():
             self.client.renew(self.listing.now_ms + LEASE_MS)
 
-    def finish(self):
-        """A run comes to its end."""
+    def end_attempt(self):
+        """End a running attempt."""
         if self.standin.running:
             self.standin.end_run(
                 self.random.choice(list(self.standin.running))
             )
 
     def forget(self):
-        """What was logged may go."""
+        """Mark all logged attempts to be dropped."""
         for task, attempt in self.logged:
             self.client.forget(task, attempt)
 
-    def bear(self):
-        """The runner begins again, under its id."""
+    def restart(self):
+        """Restart the runner under its instance id."""
         self.standin.begin_life('i-1')
 
-    def lose(self):
-        """The next answers are lost."""
-        self.standin.loses = self.random.randint(1, 2)
+    def lose_replies(self):
+        """Lose the next responses."""
+        self.standin.lost_replies = self.random.randint(1, 2)
 
 
 ACTIONS = (
-    *(Walk.start, Walk.start, Walk.start, Walk.finish, Walk.finish),
-    *(Walk.look, Walk.look, Walk.renew, Walk.forget, Walk.forget),
-    *(Walk.hear, Walk.hear_late, Walk.bear, Walk.lose, Walk.look_past),
+    *(Walk.start, Walk.start, Walk.start, Walk.end_attempt, Walk.end_attempt),
+    *(
+        Walk.read_listing,
+        Walk.read_listing,
+        Walk.renew,
+        Walk.forget,
+        Walk.forget,
+    ),
+    *(
+        Walk.deliver_heartbeat,
+        Walk.deliver_late_heartbeat,
+        Walk.restart,
+        Walk.lose_replies,
+        Walk.read_unused_listing,
+    ),
 )
 
 
-def walk_all(told_ms=None):
-    """Walk for each seed; returns what broke first, or None.
+def walk_all(reported_born_ms=None):
+    """Walk for each seed; returns the first violation, or None.
 
-    :param told_ms: the birth that each life tells, if not its own
+    :param reported_born_ms: the birth time that all lives report, None for
+        the true one of each
     """
     with mock.patch.object(line.http_client, 'Connection', Connection):
         for seed in range(SEEDS):
             try:
-                Walk(seed, told_ms).run()
-            except Broken as exc:
+                Walk(seed, reported_born_ms).run()
+            except InvariantError as exc:
                 return seed, str(exc)
     return None
 
 
-def test_walks_beside_a_runner_that_is_born_again(case):
+def test_walks_with_restarts_keep_the_invariants(case):
     case.assertIsNone(walk_all())
 
 
-def test_lives_told_by_their_ids_alone_are_found(case):
-    seed, reason = walk_all(told_ms=1)
+def test_walks_find_lives_distinguished_by_their_ids_only(case):
+    seed, reason = walk_all(reported_born_ms=1)
     case.assertEqual(seed, 0, reason)
 
 
-def test_starts_by_the_list_of_another_life_are_found(case):
+def test_walks_find_starts_based_on_the_listing_of_another_life(case):
     def check(self, life):
         return self._lives.check_start() or self._reach(self._order_conn).err()
 
