--- a/packages/peers/portwharf/peers/messages.py
+++ b/packages/peers/portwharf/peers/messages.py
@@ -168,7 +168,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Heartbeat:
-    """From a side to its owner, at a fixed interval.
+    """From a side to its owner, at a regular interval.
 
     :param side_ms: the side's clock, sent back in :class:`Grant`
     :param owner_ms: the owner's clock from the last :class:`Grant`
--- a/packages/platform/portwharf/platform/boot.py
+++ b/packages/platform/portwharf/platform/boot.py
@@ -20,14 +20,13 @@
 _MS = 1000
 # The longest lease, if the file does not say.
 _MAX_HOLD_MS = 6000
-# Share of the store's writes per second that one process may use for all of
-# its calls.
+# One process's calls per second, as a share of the store's writes per second.
 _PROCESS_WRITE_SHARE = 0.15
 
 
 @dataclasses.dataclass(slots=True)
 class BootSettings:
-    """The checked settings of one process.
+    """The settings of one process and its endpoints on the platform.
 
     :param vm: this VM, with the first of the ports reserved for portwharf
     :param clients: Endpoint for the job calls of clients, or None
--- a/packages/platform/portwharf/platform/decoding.py
+++ b/packages/platform/portwharf/platform/decoding.py
@@ -160,9 +160,9 @@
     A step's name is its index as text. On the wire, steps are numbers.
     """
     after = json_fields.read_list(step, 'watchRev', int)
-    if not all(0 <= one < number for one in after):
+    if not all(0 <= index < number for index in after):
         raise ValueError(f'"watchRev" of step {number}: not an earlier step')
-    return [str(one) for one in after]
+    return [str(index) for index in after]
 
 
 def _make_problem(job_id, field, text):
--- a/packages/platform/portwharf/platform/json_fields.py
+++ b/packages/platform/portwharf/platform/json_fields.py
@@ -20,8 +20,8 @@
     :raises ValueError: not a number, or out of range
     """
     item = _get_field(value, name, default)
-    number = not isinstance(item, bool) and isinstance(item, int | float)
-    if not number or not math.isfinite(item):
+    is_number = not isinstance(item, bool) and isinstance(item, int | float)
+    if not is_number or not math.isfinite(item):
         raise ValueError(f'"{name}" is {_format(item)}, not a number')
     if not minimum <= item <= MAX_EXACT_INT:
         raise ValueError(
@@ -36,8 +36,8 @@
     :raises ValueError: not a number, or negative
     """
     item = _get_field(value, name, default)
-    number = not isinstance(item, bool) and isinstance(item, int | float)
-    if not number or not math.isfinite(item) or item < 0:
+    is_number = not isinstance(item, bool) and isinstance(item, int | float)
+    if not is_number or not math.isfinite(item) or item < 0:
         raise ValueError(f'"{name}" is {_format(item)}, not a number >= 0')
     return float(item)
 
