--- a/packages/core/portwharf/core/recent.py
+++ b/packages/core/portwharf/core/bounded_cache.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """A bounded cache that never evicts entries in use."""
 
-__all__ = ['Recent']
+__all__ = ['BoundedCache']
 
 
-class Recent:
+class BoundedCache:
     """Maps keys to values and evicts the entry that was written first.
 
     Keys in use are never evicted, so that the size may exceed the limit
@@ -23,7 +23,7 @@
     def __len__(self):
         return len(self._values)
 
-    def use(self, keys):
+    def set_in_use(self, keys):
         """Set the keys that are in use, replacing those set before."""
         self._in_use = frozenset(keys)
 
--- a/packages/core/portwharf/core/data.py
+++ b/packages/core/portwharf/core/data.py
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LifeId:
+class IncarnationId:
     """Identifies one incarnation of a worker: a single start of its process.
 
     A worker may restart under the same instance id without any state of
--- a/packages/core/portwharf/core/stops.py
+++ b/packages/core/portwharf/core/shutdown.py
@@ -18,13 +18,13 @@
 POLL_INTERVAL_SECONDS = 0.5
 
 
-def wait_until_asked(stop_requested):
+def wait_for_stop_request(stop_requested):
     """Wait in the main thread until a signal handler has set an event."""
     while not stop_requested.wait(POLL_INTERVAL_SECONDS):
         continue
 
 
-def end_within(seconds):
+def exit_after(seconds):
     """Exit the process after some seconds unless it has exited before.
 
     Shutdown may wait for a peer that does not respond. If the platform had
--- a/packages/core/portwharf/core/stops_test.py
+++ b/packages/core/portwharf/core/shutdown_test.py
@@ -11,14 +11,14 @@
 PROGRAM = """
 import signal
 import threading
-from portwharf.core import stops
+from portwharf.core import shutdown
 
 asked = threading.Event()
 signal.signal(signal.SIGTERM, lambda *_: asked.set())
 for _ in range(8):
     threading.Thread(target=threading.Event().wait, daemon=True).start()
 print('ready', flush=True)
-stops.wait_until_asked(asked)
+shutdown.wait_for_stop_request(asked)
 print('asked', flush=True)
 """
 
@@ -42,9 +42,9 @@
 
 HANGING = """
 import threading
-from portwharf.core import stops
+from portwharf.core import shutdown
 
-stops.end_within(0.1)
+shutdown.exit_after(0.1)
 threading.Event().wait()
 """
 
--- a/packages/endpoints/portwharf/endpoints/http_test.py
+++ b/packages/endpoints/portwharf/endpoints/http_test.py
@@ -40,7 +40,7 @@
 
 
 def test_computed_answer_is_returned(case):
-    fake = runner.RunnerStandIn()
+    fake = runner.FakeRunner()
     client = open_runner(case, fixtures.serve(case, fake))
     answer = client.run('id-1', 'lens/fit-check', PAYLOAD, 5)
     expected = programs.answer_request('lens/fit-check', PAYLOAD)
@@ -49,14 +49,14 @@
 
 
 def test_slow_answer_is_accepted(case):
-    fake = runner.RunnerStandIn()
+    fake = runner.FakeRunner()
     fake.delay = 0.8
     client = open_runner(case, fixtures.serve(case, fake))
     case.assertTrue(client.run('id-1', 's/x', PAYLOAD, 5).whole)
 
 
 def test_request_that_timed_out_may_have_run(case):
-    fake = runner.RunnerStandIn()
+    fake = runner.FakeRunner()
     fake.delay = 1.0
     client = open_runner(case, fixtures.serve(case, fake))
     answer = client.run('id-1', 's/x', PAYLOAD, 0.1)
@@ -64,13 +64,13 @@
 
 
 def test_request_with_invalid_payload_ran_and_failed(case):
-    client = open_runner(case, fixtures.serve(case, runner.RunnerStandIn()))
+    client = open_runner(case, fixtures.serve(case, runner.FakeRunner()))
     answer = client.run('id-1', 's/x', b'not json', 5)
     case.assertTrue(answer.whole and answer.failed)
 
 
 def test_request_to_a_busy_runner_has_not_run(case):
-    client = open_runner(case, fixtures.serve(case, runner.RunnerStandIn(0)))
+    client = open_runner(case, fixtures.serve(case, runner.FakeRunner(0)))
     case.assertFalse(client.run('id-1', 's/x', PAYLOAD, 5).ran)
 
 
--- a/packages/entry/portwharf/entry/leaving.py
+++ b/packages/entry/portwharf/entry/graceful_shutdown.py
@@ -18,7 +18,7 @@
 _POLL_SECONDS = 0.1
 
 
-class Leaving:
+class GracefulShutdown:
     """Tracks an entry's shutdown and its calls in progress.
 
     The shutdown ends in time even if the owner, the store or the callers are
@@ -41,17 +41,17 @@
         self._requested_at = None
 
     @property
-    def is_asked(self):
+    def is_requested(self):
         """Whether a stop was requested."""
         return self._requested_at is not None
 
-    def ask(self):
+    def request_stop(self):
         """Request the stop; safe in a signal handler."""
         if self._requested_at is None:
             self._requested_at = self._clock.read_monotonic()
 
     @contextlib.contextmanager
-    def carry_out(self):
+    def track_call(self):
         """Context manager that counts a call in progress."""
         with self._changed:
             self._active_calls += 1
@@ -63,7 +63,7 @@
                 self._active_calls -= 1
                 self._changed.notify_all()
 
-    def limit(self, seconds):
+    def limit_seconds(self, seconds):
         """Return the time limit of a call, in seconds.
 
         :param seconds: the limit while no stop was requested
@@ -75,7 +75,7 @@
         left = due - self._clock.read_monotonic()
         return max(MIN_CALL_SECONDS, min(seconds, left))
 
-    def is_over(self):
+    def is_done(self):
         """Whether the entry may exit now; only after a stop was requested."""
         now = self._clock.read_monotonic()
         if now >= self._requested_at + self._answer_seconds:
@@ -84,8 +84,8 @@
         quiet = now >= self._last_call + QUIET_SECONDS
         return self._active_calls == 0 and unready and quiet
 
-    def wait_until_over(self):
+    def wait_until_done(self):
         """Wait until the entry may exit."""
         with self._changed:
-            while not self.is_over():
+            while not self.is_done():
                 self._changed.wait(_POLL_SECONDS)
--- a/packages/entry/portwharf/entry/owners.py
+++ b/packages/entry/portwharf/entry/owner_client.py
@@ -26,11 +26,11 @@
 UNKNOWN_ID = 'unknown-id'
 
 
-class OwnerCalls:
+class OwnerClient:
     """Sends calls to owners over an entry's links."""
 
     def __init__(self, links, clock):
-        """Create a client; ``links`` is a ``sides.LinkTable``."""
+        """Create a client; ``links`` is a ``side_links.LinkTable``."""
         self._links = links
         self._clock = clock
         self._pause = threading.Event()
--- a/packages/entry/portwharf/entry/process.py
+++ b/packages/entry/portwharf/entry/process.py
@@ -10,13 +10,13 @@
 from portwharf.core import clock
 from portwharf.core import codec
 from portwharf.core import ids
-from portwharf.core import stops
+from portwharf.core import shutdown
 from portwharf.core import web
 from portwharf.entry import entry_peers
 from portwharf.entry import metrics
 from portwharf.entry import routing
 from portwharf.entry import shard_backend
-from portwharf.entry import sides
+from portwharf.entry import side_links
 from portwharf import operators
 from portwharf.peers import messages
 from portwharf.peers import streams
@@ -67,20 +67,20 @@
 
     def wait(self):
         """Wait until a stop is requested."""
-        stops.wait_until_asked(self._stopping)
+        shutdown.wait_for_stop_request(self._stopping)
 
     def _start_parts(self):
         cfg = self._cfg
         enter = self._stack.enter_context
         gateway = store.open_etcd(cfg.store.address, cfg.store.port)
-        kv = store.BudgetedStore(enter(gateway), self._clock)
+        kv = store.RateLimitedStore(enter(gateway), self._clock)
         listing = enter(
             vmlist.HttpVmList(cfg.vm_list.address, cfg.vm_list.port)
         )
         enter(configuration.ConfigWatcher(kv, self._keeper))
         context = tls.make_client_context(cfg.tls)
         self._links = enter(
-            sides.LinkTable(
+            side_links.LinkTable(
                 listing,
                 lambda vm: streams.dial(vm.address, vm.port, context),
                 self._make_hello,
--- a/packages/entry/portwharf/entry/routing.py
+++ b/packages/entry/portwharf/entry/routing.py
@@ -77,7 +77,7 @@
     def __init__(self, links, clock, zone, observe):
         """Create a router.
 
-        :param links: the entry's ``sides.LinkTable``
+        :param links: the entry's ``side_links.LinkTable``
         :param zone: availability zone of this entry
         :param observe: called with service, outcome and seconds
         """
--- a/packages/entry/portwharf/entry/routing_test.py
+++ b/packages/entry/portwharf/entry/routing_test.py
@@ -9,7 +9,7 @@
 from portwharf.core import data
 from portwharf.core import ids
 from portwharf.entry import routing
-from portwharf.entry import sides
+from portwharf.entry import side_links
 from portwharf.peers import messages
 from portwharf.testing import fixtures
 
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, number, outcome=data.Outcome.ANSWERED, reason=''):
-        self.view = sides.LinkView(fixtures.make_vm(number), True)
+        self.view = side_links.LinkView(fixtures.make_vm(number), True)
         self.view.state.slots = 8
         self.outcome = outcome
         self.reason = reason
@@ -43,7 +43,7 @@
         self.sent.append(message.request)
         if self.outcome is None:
             return None
-        exchange = sides.Exchange()
+        exchange = side_links.Exchange()
         if self.reason == 'lost':
             exchange.fail('connection-lost')
             return exchange
--- a/packages/entry/portwharf/entry/settings.py
+++ b/packages/entry/portwharf/entry/settings.py
@@ -74,7 +74,7 @@
             settings.Endpoint(**values['store']),
             settings.Endpoint(**values['vm_list']),
             values['shards']['count'],
-            tls.make_files(values['tls']),
+            tls.read_tls_files(values['tls']),
             values['log']['style'],
             values['log']['level'],
         )
--- a/packages/entry/portwharf/entry/shard_backend.py
+++ b/packages/entry/portwharf/entry/shard_backend.py
@@ -9,7 +9,7 @@
 from portwharf import callers
 from portwharf.core import data
 from portwharf.core import ids
-from portwharf.entry import owners
+from portwharf.entry import owner_client
 from portwharf import operators
 from portwharf.scheduler import configuration
 from portwharf.scheduler import operations
@@ -22,7 +22,7 @@
     def __init__(self, cfg, links, kv, keeper, peers, clock):
         """Create a backend.
 
-        :param links: the entry's ``sides.LinkTable``
+        :param links: the entry's ``side_links.LinkTable``
         :param kv: the store
         :param keeper: the entry's ``ConfigKeeper``
         :param peers: an ``entry_peers.EntryPeers``
@@ -33,7 +33,7 @@
         self._keeper = keeper
         self._peers = peers
         self._clock = clock
-        self._owners = owners.OwnerCalls(links, clock)
+        self._owners = owner_client.OwnerClient(links, clock)
 
     def submit(self, submission):
         key = submission.key or submission.workload.key
@@ -101,7 +101,7 @@
             self._kv, base_revision, text
         )
         if proposed.is_ok():
-            self._keeper.offer(proposed.ok_value, text)
+            self._keeper.update(proposed.ok_value, text)
         return proposed
 
     def _check_quotas(self, cfg):
--- a/packages/entry/portwharf/entry/sides.py
+++ b/packages/entry/portwharf/entry/side_links.py
@@ -17,7 +17,7 @@
 from portwharf.peers import links
 from portwharf.peers import messages
 from portwharf.peers import streams
-from portwharf.scheduler import homes
+from portwharf.scheduler import request_homes
 
 _HEARTBEAT_SECONDS = 1.0
 _HEARTBEATS_PER_LISTING = 2
@@ -222,7 +222,7 @@
             return
         if isinstance(message, messages.ConfigUpdate):
             if self._keeper is not None:
-                self._keeper.offer(message.revision, message.text)
+                self._keeper.update(message.revision, message.text)
             return
         if isinstance(message, messages.RosterUpdate):
             self._on_roster(self.view.state.shard, message)
@@ -242,7 +242,9 @@
             exchange.handle_answer(message)
             self._forget(message.id)
         else:
-            raise streams.GarbledError(f'unexpected {type(message).__name__}')
+            raise streams.ProtocolError(
+                f'unexpected message {type(message).__name__}'
+            )
 
 
 class LinkTable:
@@ -300,7 +302,7 @@
         safe, since the home checks its own.
         """
         for roster in list(self._rosters.values()):
-            name = homes.find_home(roster, request, service)
+            name = request_homes.find_home(roster, request, service)
             if name:
                 return self._links.get(name)
         return None
--- a/packages/entry/portwharf/entry/sides_test.py
+++ b/packages/entry/portwharf/entry/side_links_test.py
@@ -9,8 +9,8 @@
 
 from portwharf.core import clock
 from portwharf.core import data
-from portwharf.entry import fewsides
-from portwharf.entry import sides
+from portwharf.entry import side_links
+from portwharf.entry import side_subset
 from portwharf.peers import messages
 from portwharf.peers import streams
 from portwharf.scheduler import configuration
@@ -35,7 +35,7 @@
     return listener.port, received
 
 
-class WatchedLink(sides.SideLink):
+class WatchedLink(side_links.SideLink):
     """A link that sets an event when it is up."""
 
     def attach(self, conn, peer):
@@ -62,7 +62,7 @@
     link = open_link(case, proxy.port)
     case.assertTrue(link.attached.wait(10))
     link.attached.clear()
-    proxy.hush()
+    proxy.freeze_connections()
     lost = link.begin(messages.Operation(0, 'lost'))
     case.assertTrue(lost.wait(8))
     case.assertEqual(lost.failure, 'connection-lost')
@@ -71,7 +71,7 @@
     case.assertEqual(received.get(timeout=10).method, 'found')
 
 
-class RecordingLink(sides.SideLink):
+class RecordingLink(side_links.SideLink):
     """A link to a side with a configuration; records the heartbeats."""
 
     def __init__(self, name, keeper, revision, up=True):
@@ -113,12 +113,12 @@
     :returns: list, for each heartbeat, of the numbers of the sides
     """
     keeper = configuration.ConfigKeeper()
-    keeper.offer(5, '')
+    keeper.update(5, '')
     links = [
         RecordingLink(str(number), keeper, revision, up)
         for number, revision in enumerate(revisions)
     ]
-    table = sides.LinkTable(UnreadableVmList(), None, None, None, keeper)
+    table = side_links.LinkTable(UnreadableVmList(), None, None, None, keeper)
     table._links = {link.name: link for link in links}
     table._stop = CountdownEvent(heartbeats)
     table._changed = CountdownEvent(0)
@@ -175,19 +175,19 @@
         raise UnreachableError('not there')
 
     names = [f'side-{number}' for number in range(100)]
-    table = sides.LinkTable(
+    table = side_links.LinkTable(
         StaticVmList(names),
         dial,
         None,
         clock.SystemClock(),
         None,
-        fewsides.FewSides('entry-1'),
+        side_subset.SideSubset('entry-1'),
     )
     case.enterContext(table)
     case.addCleanup(release.set)
     case.assertTrue(table.vmlist_loaded.wait(10))
     linked = {link.name for link in table.list_links()}
-    case.assertEqual(len(linked), fewsides.MIN_LINKS)
+    case.assertEqual(len(linked), side_subset.MIN_LINKS)
     owner = next(name for name in names if name not in linked)
     link = table.list_links()[0]
     link.view.up = True
--- a/packages/entry/portwharf/entry/fewsides.py
+++ b/packages/entry/portwharf/entry/side_subset.py
@@ -15,7 +15,7 @@
 _MAX_LINKS_FACTOR = 3
 
 
-class FewSides:
+class SideSubset:
     """Selects a few sides, and the owner.
 
     Rendezvous hashing by the entry's name spreads the links of all entries
--- a/packages/entry/portwharf/entry/fewsides_test.py
+++ b/packages/entry/portwharf/entry/side_subset_test.py
@@ -6,14 +6,14 @@
 
 from portwharf.core import clock
 from portwharf.core import data
-from portwharf.entry import fewsides
-from portwharf.entry import sides
+from portwharf.entry import side_links
+from portwharf.entry import side_subset
 from portwharf.peers import messages
 
 
 def make_link(name, up=True, owner='', epoch=0):
     """Return a link with the state that the selection reads."""
-    link = sides.SideLink(data.Vm(name), None, None, clock.SystemClock())
+    link = side_links.SideLink(data.Vm(name), None, None, clock.SystemClock())
     link.view.up = up
     link.view.state = messages.SideState(owner=owner, epoch=epoch)
     return link
@@ -23,7 +23,7 @@
     """Return the sides that an entry selects out of ``count``."""
     names = [f'side-{number}' for number in range(count)]
     known = {link.name: link for link in links}
-    return fewsides.FewSides(entry)(names, known)
+    return side_subset.SideSubset(entry)(names, known)
 
 
 def test_entry_links_to_all_sides_of_a_small_fleet(case):
@@ -31,7 +31,7 @@
 
 
 def test_links_of_an_entry_do_not_grow_with_the_fleet(case):
-    case.assertEqual(len(select(850)), fewsides.MIN_LINKS)
+    case.assertEqual(len(select(850)), side_subset.MIN_LINKS)
 
 
 def test_entries_select_different_sides(case):
@@ -39,7 +39,7 @@
     for number in range(100):
         counts.update(select(100, entry=f'entry-{number}'))
     # The mean is 12 links per side.
-    case.assertLess(max(counts.values()), 3 * fewsides.MIN_LINKS)
+    case.assertLess(max(counts.values()), 3 * side_subset.MIN_LINKS)
 
 
 def test_owner_reported_by_a_side_is_selected(case):
@@ -54,9 +54,9 @@
 
 def test_sides_that_are_down_are_replaced(case):
     down = [make_link(name, up=False) for name in select(100)[:9]]
-    case.assertEqual(len(select(100, down)), fewsides.MIN_LINKS + 9)
+    case.assertEqual(len(select(100, down)), side_subset.MIN_LINKS + 9)
 
 
 def test_links_are_bounded_when_all_sides_are_down(case):
     links = [make_link(f'side-{n}', up=False) for n in range(850)]
-    case.assertEqual(len(select(850, links)), 3 * fewsides.MIN_LINKS)
+    case.assertEqual(len(select(850, links)), 3 * side_subset.MIN_LINKS)
--- a/packages/peers/portwharf/peers/links.py
+++ b/packages/peers/portwharf/peers/links.py
@@ -100,9 +100,9 @@
         except streams.IdleTimeoutError as exc:
             # The idle limit was wait enough.
             wait_seconds = 0.0
-            streams.log_end(exc, self.name)
+            streams.log_closed(exc, self.name)
         except streams.PeerError as exc:
-            streams.log_end(exc, self.name)
+            streams.log_closed(exc, self.name)
         self._dialled = None
         self._conn = None
         self.detach()
@@ -112,7 +112,7 @@
         self._dialled = conn
         if self._stop.is_set():
             return
-        peer = streams.greet(conn, self.make_hello(), idle=self.idle)
+        peer = streams.exchange_hellos(conn, self.make_hello(), idle=self.idle)
         self._conn = conn
         self.attach(conn, peer)
         while not self._stop.is_set():
--- a/packages/peers/portwharf/peers/messages.py
+++ b/packages/peers/portwharf/peers/messages.py
@@ -180,11 +180,11 @@
     :param observed: interference observed since the last heartbeat
     :param paced: the attempts that are throttled
     :param rack: the worker's rack, or ''
-    :param life: instance id of the worker's current life, or ''
+    :param life: instance id of the worker's current incarnation, or ''
     :param known: only in the first heartbeat on a connection, the
         interference estimates received from owners
     :param saved: new checkpoints of running attempts
-    :param born_ms: when that life began, as instance ids may be reused
+    :param born_ms: when that incarnation began, as instance ids may be reused
     :param measured: measured run times of running tasks, each sent once
     """
 
@@ -535,4 +535,4 @@
     'query': OwnerQuery,
     'hears': OwnerAnswer,
 }
-NAMES = {cls: name for name, cls in KINDS.items()}
+KIND_BY_CLASS = {cls: name for name, cls in KINDS.items()}
--- a/packages/peers/portwharf/peers/streams.py
+++ b/packages/peers/portwharf/peers/streams.py
@@ -63,7 +63,7 @@
     """Nothing was received for longer than the idle limit."""
 
 
-class GarbledError(PeerError):
+class ProtocolError(PeerError):
     """The peer sent data that violates the protocol."""
 
 
@@ -118,7 +118,7 @@
 
         :raises PeerError: the connection is closed
         """
-        kind = messages.NAMES[type(message)]
+        kind = messages.KIND_BY_CLASS[type(message)]
         frame = msgpack.packb([kind, codec.to_map(message)])
         try:
             with self._send_lock:
@@ -164,7 +164,7 @@
         except OSError as exc:
             raise PeerError(f'cannot read: {exc}') from exc
         except (ValueError, msgpack.UnpackException) as exc:
-            raise GarbledError(f'cannot read: {exc}') from exc
+            raise ProtocolError(f'cannot read: {exc}') from exc
 
     def _read_available(self):
         """Return the available bytes, or None if there are none yet.
@@ -316,7 +316,7 @@
             with conn:
                 self._handle(conn)
         except PeerError as exc:
-            log_end(exc, peer)
+            log_closed(exc, peer)
         except Exception:
             # A bug in the handler must not affect other connections.
             LOG.exception('connection failed', extra=logs.fields(peer=peer))
@@ -331,10 +331,10 @@
         return self._context.wrap_socket(sock, server_side=True)
 
 
-def log_end(exc, peer):
+def log_closed(exc, peer):
     """Log why a connection was closed, a protocol violation as a warning."""
     level = logging.DEBUG
-    if isinstance(exc, GarbledError):
+    if isinstance(exc, ProtocolError):
         level = logging.WARNING
     LOG.log(level, 'connection closed: %s', exc, extra=logs.fields(peer=peer))
 
@@ -355,7 +355,7 @@
     return Connection(sock, f'{address}:{port}')
 
 
-def greet(conn, hello, seconds=GREETING_SECONDS, idle=IDLE_SECONDS):
+def exchange_hellos(conn, hello, seconds=GREETING_SECONDS, idle=IDLE_SECONDS):
     """Exchange greetings on a new connection, as the dialling end.
 
     The wait for the greeting has its own limit, as a paused process accepts
@@ -368,20 +368,20 @@
     """
     conn.set_idle(seconds)
     conn.send(hello)
-    peer = check_greeting(conn.receive())
+    peer = check_hello(conn.receive())
     conn.set_idle(idle)
     return peer
 
 
-def check_greeting(message):
+def check_hello(message):
     """Return the peer's greeting if it is a valid one.
 
     :raises PeerError: not a greeting, or another protocol version
     """
     if not isinstance(message, messages.Hello):
-        raise GarbledError(f'no greeting but a {type(message).__name__}')
+        raise ProtocolError(f'no greeting but a {type(message).__name__}')
     if message.version != messages.PROTOCOL_VERSION:
-        raise GarbledError(
+        raise ProtocolError(
             f'protocol version {message.version}, '
             f'this is {messages.PROTOCOL_VERSION}'
         )
@@ -394,14 +394,14 @@
     :raises PeerError: the frame is malformed
     """
     if not isinstance(frame, list) or len(frame) != 2:
-        raise GarbledError('malformed frame')
+        raise ProtocolError('malformed frame')
     kind, fields = frame
     if not isinstance(kind, str):
-        raise GarbledError('malformed kind of a frame')
+        raise ProtocolError('malformed kind of a frame')
     cls = messages.KINDS.get(kind)
     if cls is None:
         return None
     try:
         return codec.from_map(cls, fields)
     except (TypeError, ValueError) as exc:
-        raise GarbledError(f'malformed {kind}: {exc}') from exc
+        raise ProtocolError(f'malformed {kind}: {exc}') from exc
--- a/packages/peers/portwharf/peers/streams_test.py
+++ b/packages/peers/portwharf/peers/streams_test.py
@@ -123,12 +123,12 @@
 def test_other_version_is_refused(case):
     newer = messages.Hello(messages.PROTOCOL_VERSION + 1)
     with case.assertRaisesRegex(streams.PeerError, 'protocol version'):
-        streams.check_greeting(newer)
+        streams.check_hello(newer)
 
 
 def test_other_message_than_a_greeting_is_refused(case):
     with case.assertRaisesRegex(streams.PeerError, 'no greeting'):
-        streams.check_greeting(messages.Grant())
+        streams.check_hello(messages.Grant())
 
 
 def test_tls_between_certified_peers(case):
@@ -202,7 +202,7 @@
     conn, link_relay = dial_through_relay(case, port)
     conn.send(HELLO)
     conn.receive()
-    link_relay.hush()
+    link_relay.freeze_connections()
     with case.assertRaises(streams.IdleTimeoutError):
         conn.receive()
     case.assertIn('silent', reasons.get(timeout=8))
@@ -213,7 +213,7 @@
     conn, link_relay = dial_through_relay(case, port)
     conn.send(HELLO)
     conn.receive()
-    link_relay.hush()
+    link_relay.freeze_connections()
     chunk = messages.Chunk(1, bytes(streams.MAX_FRAME_BYTES // 2))
 
     def send_until_closed():
--- a/packages/peers/portwharf/peers/tls.py
+++ b/packages/peers/portwharf/peers/tls.py
@@ -40,7 +40,7 @@
     return _make_context(files, ssl.PROTOCOL_TLS_CLIENT)
 
 
-def make_files(values):
+def read_tls_files(values):
     """Return the TlsFiles of a checked ``tls`` table, or None."""
     if values['plaintext']:
         return None
--- a/packages/platform/portwharf/platform/advice.py
+++ b/packages/platform/portwharf/platform/advice.py
@@ -26,9 +26,9 @@
     def __exit__(self, *exc_info):
         self._client.__exit__(*exc_info)
 
-    def ask(self, step, lives):
-        # A ticket is valid for one life. The service knows workers by their
-        # instance ids, which are unique within one question.
+    def query(self, step, lives):
+        # A ticket is valid for one incarnation. The service knows workers by
+        # their instance ids, which are unique within one question.
         by_instance = {life.instance: life for life in lives}
         body = {'step': step, 'workers': list(by_instance)}
         reply = self._client.call(
--- a/packages/platform/portwharf/platform/advice_test.py
+++ b/packages/platform/portwharf/platform/advice_test.py
@@ -32,12 +32,12 @@
 
 def test_permitted_workers_are_returned_with_their_tickets(case):
     service, bodies = open_service(case)
-    first, second = data.LifeId('i-1', 9), data.LifeId('i-2', 8)
-    permits = service.ask(STEP, [first, second]).ok_value
+    first, second = data.IncarnationId('i-1', 9), data.IncarnationId('i-2', 8)
+    permits = service.query(STEP, [first, second]).ok_value
     case.assertEqual(permits, [policy.Permit(first, 'ticket-1')])
     case.assertEqual(bodies, [{'step': STEP, 'workers': ['i-1', 'i-2']}])
 
 
 def test_overloaded_service_is_an_error(case):
     service, _ = open_service(case, status=429)
-    case.assertTrue(service.ask(STEP, [data.LifeId('i-1')]).is_err())
+    case.assertTrue(service.query(STEP, [data.IncarnationId('i-1')]).is_err())
--- a/packages/platform/portwharf/platform/decoding.py
+++ b/packages/platform/portwharf/platform/decoding.py
@@ -78,7 +78,7 @@
     if len(job.steps) > MAX_STEPS or tasks > MAX_TASKS:
         text = f'must be at most {MAX_STEPS} with {MAX_TASKS} tasks in all'
         return result.Err(_make_problem(job_id, 'steps', text))
-    problem = jobs.find_problem(job)
+    problem = jobs.validate_job(job)
     return result.Ok(job) if problem is None else result.Err(problem)
 
 
--- a/packages/platform/portwharf/platform/ends.py
+++ b/packages/platform/portwharf/platform/ended_attempts.py
@@ -1,14 +1,15 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""The ended attempts that one life of the runner lists.
+"""The ended attempts that one incarnation of the runner lists.
 
-The runner numbers them from 1 in each life, and drops them up to the number
-that the side acknowledges. An acknowledged number is valid in one life only:
-sent to the next life, it would drop ended attempts that are not in the log.
+The runner numbers them from 1 in each incarnation, and drops them up to the
+number that the side acknowledges. An acknowledged number is valid in one
+incarnation only: sent to the next incarnation, it would drop ended attempts
+that are not in the log.
 """
 
 
-class Ends:
+class EndedAttempts:
     """Tracks listed and logged ended attempts; guarded by the caller's lock.
 
     :ivar acked: the runner may drop all ended attempts up to this number
@@ -35,7 +36,7 @@
             if number > self.acked:
                 self._listed[number] = (task, run)
         # An attempt may have been logged before it was listed here.
-        self._move_ack()
+        self._advance_ack()
 
     def record_latest(self, rows):
         """Record the highest number; tells whether it is a new one."""
@@ -48,9 +49,9 @@
     def forget(self, task, attempt):
         """Mark an ended attempt as logged, so that it can be dropped."""
         self._logged.add((task, attempt))
-        self._move_ack()
+        self._advance_ack()
 
-    def _move_ack(self):
+    def _advance_ack(self):
         """Raise ``acked`` over all listed ended attempts that are logged."""
         for number in sorted(self._listed):
             if self._listed[number] not in self._logged:
--- a/packages/platform/portwharf/platform/beats.py
+++ b/packages/platform/portwharf/platform/heartbeats.py
@@ -28,7 +28,7 @@
     def __init__(self, on_life):
         """Set up the receiver.
 
-        :param on_life: called with the :class:`workers.Life` of each
+        :param on_life: called with the :class:`workers.Incarnation` of each
             valid heartbeat
         """
         self._on_life = on_life
@@ -66,8 +66,8 @@
         return web.answer_text(start_response, 400, text)
 
 
-def read_birth(value):
-    """Return the birth time of the runner's life; 0 if it is missing.
+def read_birth_time(value):
+    """Return the birth time of the runner's incarnation; 0 if it is missing.
 
     Heartbeats and lists carry it as ``born``, in ms.
 
@@ -77,7 +77,7 @@
 
 
 def parse_life(instance, value):
-    """Return the ``workers.Life`` that a heartbeat describes.
+    """Return the ``workers.Incarnation`` that a heartbeat describes.
 
     On the wire ``service`` names the runner's pool.
 
@@ -89,8 +89,8 @@
     state = json_fields.read_str(value, 'state', READY)
     if state not in _STATES:
         raise ValueError(f'"state" is {state!r:.40}, not one of {_STATES}')
-    return workers.Life(
-        data.LifeId(instance, read_birth(value)),
+    return workers.Incarnation(
+        data.IncarnationId(instance, read_birth_time(value)),
         json_fields.read_str(value, 'service', None),
         json_fields.read_str(value, 'zone'),
         data.Resources(
--- a/packages/platform/portwharf/platform/beats_test.py
+++ b/packages/platform/portwharf/platform/heartbeats_test.py
@@ -5,7 +5,7 @@
 import json
 
 from portwharf.core import data
-from portwharf.platform import beats
+from portwharf.platform import heartbeats
 from portwharf.testing import fixtures
 
 HEARTBEAT = {
@@ -22,7 +22,7 @@
 
 def send(received, path, body):
     """Send a runner's request to a receiver."""
-    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(received.append))
+    pool = fixtures.WsgiPool(heartbeats.HeartbeatReceiver(received.append))
     return pool.request('POST', path, json.dumps(body))
 
 
@@ -31,7 +31,7 @@
     path = '/portwharf/instances/i-7/heartbeat'
     case.assertEqual(send(received, path, HEARTBEAT).status, 200)
     (life,) = received
-    case.assertEqual(life.id, data.LifeId('i-7', 1790))
+    case.assertEqual(life.id, data.IncarnationId('i-7', 1790))
     case.assertEqual(life.pool, 'pool-1')
     case.assertEqual(life.capacity, data.Resources(16000, 32768, 2))
     case.assertEqual((life.draining, life.leaves_in_ms), (True, 2500))
--- a/packages/platform/portwharf/platform/http_client_test.py
+++ b/packages/platform/portwharf/platform/http_client_test.py
@@ -65,7 +65,7 @@
 def test_one_timeout_drops_all_silent_connections(case):
     client, link_relay, _, pool = open_client(case)
     case.assertEqual(call_together(client, pool), [True] * CONNECTIONS)
-    link_relay.hush()
+    link_relay.freeze_connections()
     case.assertTrue(call(client, '/', 0.2).is_err())
     case.assertEqual(call_together(client, pool), [True] * CONNECTIONS)
 
--- a/packages/platform/portwharf/platform/clients.py
+++ b/packages/platform/portwharf/platform/job_api.py
@@ -10,7 +10,7 @@
 
 from portwharf.core import logs
 from portwharf.core import web
-from portwharf.entry import owners
+from portwharf.entry import owner_client
 from portwharf.platform import decoding
 from portwharf.scheduler import job_operations
 from portwharf.scheduler import operations
@@ -36,9 +36,9 @@
 _JOB_ID = re.compile('[0-9a-fA-F]{16}')
 _SHARD = 0
 _STATUSES = {
-    owners.NOT_ACCEPTED: 503,
-    owners.OUTCOME_UNKNOWN: 504,
-    owners.UNKNOWN_ID: 410,
+    owner_client.NOT_ACCEPTED: 503,
+    owner_client.OUTCOME_UNKNOWN: 504,
+    owner_client.UNKNOWN_ID: 410,
 }
 _BAD_GATEWAY = 502
 _MS = 1000
@@ -58,26 +58,27 @@
     def __init__(self, calls, keeper, clock, leaving):
         """Set up the application.
 
-        :param calls: ``owners.OwnerCalls``
+        :param calls: ``owner_client.OwnerClient``
         :param keeper: the ``configuration.ConfigKeeper``
-        :param leaving: a ``leaving.Leaving``; after a stop request every
-            response closes its connection, so that the client moves on
+        :param leaving: a ``graceful_shutdown.GracefulShutdown``; after a
+            stop request every response closes its connection, so that the
+            client moves on
         """
         self._calls = calls
         self._keeper = keeper
         self._clock = clock
-        self._leaving = leaving
+        self._shutdown = leaving
         self._lock = threading.Lock()
         self._pending_counts = {}
 
     def __call__(self, environ, start_response):
         def respond(status, answer_headers):
             # A stop may be requested while a call is in progress.
-            if self._leaving.is_asked:
+            if self._shutdown.is_requested:
                 answer_headers = [*answer_headers, ('Connection', 'close')]
             return start_response(status, answer_headers)
 
-        with self._leaving.carry_out():
+        with self._shutdown.track_call():
             return self._dispatch(environ, respond)
 
     def _dispatch(self, environ, respond):
@@ -120,7 +121,7 @@
         answer = self._call(
             'submit-job', submission, operations.Accepted, seconds
         )
-        status = _find_status(answer)
+        status = _map_status(answer)
         self._log_answer('submit', job_id, queue, status, started)
         if answer.is_err():
             return _respond_problem(respond, status, answer.err_value)
@@ -132,7 +133,7 @@
         answer = self._call('read-job', query, job_operations.JobView, seconds)
         if answer.is_err():
             return _respond_problem(
-                respond, _find_status(answer), answer.err_value
+                respond, _map_status(answer), answer.err_value
             )
         if not answer.ok_value.state:
             return _respond_error(respond, 410, 'no such job')
@@ -144,7 +145,7 @@
         started = self._clock.read_monotonic()
         seconds = _read_time_limit(environ)
         answer = self._call('cancel-job', query, operations.Cancelled, seconds)
-        status = _find_status(answer)
+        status = _map_status(answer)
         self._log_answer('cancel', job_id, queue, status, started)
         if answer.is_err():
             return _respond_problem(respond, status, answer.err_value)
@@ -175,7 +176,7 @@
                 _read_time_limit(environ),
             )
             if answer.is_err():
-                status = _find_status(answer)
+                status = _map_status(answer)
                 return _respond_problem(respond, status, answer.err_value)
             cached = _PendingCount(now, answer.ok_value.count)
             with self._lock:
@@ -183,7 +184,7 @@
         return web.answer_json(respond, 200, {'pending': cached.count})
 
     def _call(self, method, arguments, cls, seconds):
-        seconds = self._leaving.limit(seconds)
+        seconds = self._shutdown.limit_seconds(seconds)
         return self._calls.call(
             _SHARD, method, arguments, cls, seconds, FIND_OWNER_SECONDS
         )
@@ -211,12 +212,12 @@
     return min(CALL_SECONDS, DEADLINE_SHARE * deadline_ms / _MS)
 
 
-def _find_status(answer):
+def _map_status(answer):
     """Return the HTTP status for the result of a call to the owner."""
     if answer.is_ok():
         return 200
     problems = answer.err_value
-    code = problems[0].code if problems else owners.OUTCOME_UNKNOWN
+    code = problems[0].code if problems else owner_client.OUTCOME_UNKNOWN
     return _STATUSES.get(code, _BAD_GATEWAY)
 
 
--- a/packages/platform/portwharf/platform/clients_test.py
+++ b/packages/platform/portwharf/platform/job_api_test.py
@@ -8,10 +8,10 @@
 
 from portwharf.core import clock
 from portwharf.core import data
-from portwharf.entry import leaving
-from portwharf.entry import owners
-from portwharf.platform import clients
+from portwharf.entry import graceful_shutdown
+from portwharf.entry import owner_client
 from portwharf.platform import decoding
+from portwharf.platform import job_api
 from portwharf.scheduler import configuration
 from portwharf.scheduler import job_operations
 from portwharf.scheduler import operations
@@ -78,11 +78,11 @@
     keeper = configuration.ConfigKeeper(decoding.parse_config)
     calls = FakeCalls()
     now = clock.ManualClock()
-    stop = leaving.Leaving(now, 2.5, 4.5)
+    stop = graceful_shutdown.GracefulShutdown(now, 2.5, 4.5)
     if stopping:
-        stop.ask()
-    app = clients.JobApi(calls, keeper, now, stop)
-    keeper.offer(5, json.dumps(CONFIG))
+        stop.request_stop()
+    app = job_api.JobApi(calls, keeper, now, stop)
+    keeper.update(5, json.dumps(CONFIG))
     return fixtures.WsgiPool(app), calls, now, keeper
 
 
@@ -121,9 +121,9 @@
 
 def test_refusals_say_what_is_true(case):
     statuses = {
-        owners.NOT_ACCEPTED: 503,
-        owners.OUTCOME_UNKNOWN: 504,
-        owners.UNKNOWN_ID: 410,
+        owner_client.NOT_ACCEPTED: 503,
+        owner_client.OUTCOME_UNKNOWN: 504,
+        owner_client.UNKNOWN_ID: 410,
     }
     for code, status in statuses.items():
         pool, calls, _, _ = open_calls()
@@ -158,7 +158,7 @@
 
 def test_call_times_out_while_its_client_can_retry(case):
     pool, calls, _, _ = open_calls()
-    calls.answers['read-job'] = fail(owners.OUTCOME_UNKNOWN)
+    calls.answers['read-job'] = fail(owner_client.OUTCOME_UNKNOWN)
     for deadline in ('', '1000', 'soon', '60000'):
         headers = {'Host': 'desk.example'}
         if deadline:
@@ -176,16 +176,16 @@
 
 def test_removed_route_is_not_found(case):
     pool, _, _, keeper = open_calls()
-    keeper.offer(6, json.dumps({**CONFIG, 'routes': []}))
+    keeper.update(6, json.dumps({**CONFIG, 'routes': []}))
     case.assertEqual(send(pool, 'GET', f'/a/{ID}').status, 404)
-    keeper.offer(5, json.dumps(CONFIG))
+    keeper.update(5, json.dumps(CONFIG))
     case.assertEqual(send(pool, 'GET', f'/a/{ID}').status, 404)
 
 
 def test_entry_without_a_configuration_asks_to_retry(case):
     keeper = configuration.ConfigKeeper(decoding.parse_config)
-    stop = leaving.Leaving(clock.ManualClock(), 2.5, 4.5)
-    app = clients.JobApi(None, keeper, None, stop)
+    stop = graceful_shutdown.GracefulShutdown(clock.ManualClock(), 2.5, 4.5)
+    app = job_api.JobApi(None, keeper, None, stop)
     answer = send(fixtures.WsgiPool(app), 'GET', f'/a/{ID}')
     case.assertEqual(answer.status, 503)
     case.assertIn('Retry-After', answer.headers)
@@ -217,7 +217,7 @@
 
 def test_late_call_is_answered_before_the_entry_exits(case):
     pool, calls, now, _ = open_calls(stopping=True)
-    calls.answers['read-job'] = fail(owners.OUTCOME_UNKNOWN)
+    calls.answers['read-job'] = fail(owner_client.OUTCOME_UNKNOWN)
     now.advance(4.0)
     answer = send(pool, 'GET', f'/a/{ID}')
     case.assertEqual((answer.status, calls.seconds), (504, [0.5]))
@@ -225,5 +225,5 @@
 
 def test_malformed_configuration_is_ignored(case):
     pool, calls, _, keeper = open_calls()
-    case.assertFalse(keeper.offer(9, '{"routes": [{}]}'))
+    case.assertFalse(keeper.update(9, '{"routes": [{}]}'))
     case.assertEqual(keeper.read().revision, 5)
--- a/packages/platform/portwharf/platform/lost_ended_attempts_test.py
+++ b/packages/platform/portwharf/platform/lost_ended_attempts_test.py
@@ -11,12 +11,13 @@
 acknowledged to each before. The job was submitted at that moment. Thirty tasks
 of its first step were reported as gone just as they ended, up to seven times
 each. Most of their next attempts were placed on such workers again, until the
-workers' end numbers had exceeded those of the former life.
+workers' end numbers had exceeded those of the former incarnation.
 
 Evidence: "attempt is gone, not listed any more" was logged 90 times for this
 step, from 3 to 37 s after the last worker had restarted, each time as the
 attempt ended: attempt 4 of the last task at 101.5 s, attempt 5 at 108.8 s. The
-cause is described in ``rebirth_test``; this module tests the effect on a job.
+cause is described in ``runner_restart_test``; this module tests the effect on
+a job.
 """
 
 from unittest import mock
@@ -25,8 +26,8 @@
 
 from portwharf.core import data
 from portwharf.peers import messages
-from portwharf.platform import rebirth_test
-from portwharf.testing import agent_bench
+from portwharf.platform import runner_restart_test
+from portwharf.testing import agent_harness
 from portwharf import workers
 
 TASK = '5c0e7a21d94b36f8.0.0.9'
@@ -35,8 +36,8 @@
 
 def open_side(case, ends):
     """Return a side that has acknowledged ended attempts, and its runner."""
-    side = rebirth_test.Runner(case)
-    bench = agent_bench.Bench(side.client)
+    side = runner_restart_test.Runner(case)
+    bench = agent_harness.AgentHarness(side.client)
     bench.grant()
     bench.step(1)
     for number in range(ends):
@@ -75,8 +76,9 @@
 def test_no_start_is_based_on_an_outdated_listing(case):
     """A start without a response is followed by another request.
 
-    Its response may come from the next life while the agent still uses the
-    former listing. A start then has a time on the former life's clock.
+    Its response may come from the next incarnation while the agent still uses
+    the former listing. A start then has a time on the former incarnation's
+    clock.
     """
     bench, side = open_side(case, ends=0)
     stop = side.client.stop
@@ -97,11 +99,11 @@
     bench.agent.command(bench.conn, make_start(OTHER))
     bench.agent.step()
     case.assertEqual(side.standin.running, {})
-    case.assertIn(workers.REFUSED_UNHEARD, bench.list_refused())
+    case.assertIn(workers.REFUSED_NO_HEARTBEAT, bench.list_refused())
 
 
 def make_start(task):
     """Return an owner's order to start a task."""
     return messages.StartTask(
-        3, task, 1, exclusive=True, resources=agent_bench.SIZE
+        3, task, 1, exclusive=True, resources=agent_harness.SIZE
     )
--- a/packages/platform/portwharf/platform/malformed_input_test.py
+++ b/packages/platform/portwharf/platform/malformed_input_test.py
@@ -16,8 +16,8 @@
 
 from portwharf.core import codec
 from portwharf.core import data
-from portwharf.platform import beats
 from portwharf.platform import decoding
+from portwharf.platform import heartbeats
 from portwharf.platform import json_fields
 from portwharf.platform import runner_lists
 from portwharf.scheduler import configuration
@@ -172,7 +172,7 @@
 
 def test_heartbeat_is_refused_or_accepted(case):
     accepted = []
-    pool = fixtures.WsgiPool(beats.HeartbeatReceiver(accepted.append))
+    pool = fixtures.WsgiPool(heartbeats.HeartbeatReceiver(accepted.append))
     path = '/portwharf/instances/i-7/heartbeat'
 
     @for_variants(HEARTBEAT)
@@ -182,9 +182,9 @@
         case.assertIn(answer.status, (200, 400))
         case.assertEqual(len(accepted), answer.status == 200)
         for life in accepted:
-            lives = workers.Lives()
-            lives.offer(life)
-            lives.settle(life.id)
+            tracker = workers.IncarnationTracker()
+            tracker.record_heartbeat(life)
+            tracker.confirm(life.id)
             case.assertTrue(life.capacity.fits(life.capacity))
             case.assertTrue(codec.pack(life.capacity))
 
--- a/packages/platform/portwharf/platform/programs.py
+++ b/packages/platform/portwharf/platform/programs.py
@@ -12,12 +12,12 @@
 from portwharf.core import clock
 from portwharf.core import ids
 from portwharf.core import logs
-from portwharf.core import stops
+from portwharf.core import shutdown
 from portwharf.core import web
-from portwharf.entry import leaving
+from portwharf.entry import graceful_shutdown
 from portwharf.platform import boot
 from portwharf.platform import decoding
-from portwharf.platform import kv
+from portwharf.platform import store_client
 from portwharf.scheduler import configuration
 from portwharf import vmlist
 
@@ -51,7 +51,7 @@
         answer_seconds = max(
             0.0, settings.grace_seconds - ANSWER_MARGIN_SECONDS
         )
-        self._leaving = leaving.Leaving(
+        self._shutdown = graceful_shutdown.GracefulShutdown(
             self._clock, BALANCER_NOTICE_SECONDS, answer_seconds
         )
         self._keeper = configuration.ConfigKeeper(decoding.parse_config)
@@ -66,7 +66,7 @@
     def __exit__(self, *exc_info):
         LOG.info('entry stopping')
         self._client_server.drain(IDLE_CONNECTION_SECONDS)
-        self._leaving.wait_until_over()
+        self._shutdown.wait_until_done()
         # The other components end with the process.
         all_answered = self._client_server.finish(
             ANSWER_MARGIN_SECONDS - END_MARGIN_SECONDS
@@ -76,23 +76,25 @@
 
     def stop(self):
         """Request a planned stop; safe in a signal handler."""
-        self._leaving.ask()
+        self._shutdown.request_stop()
         self._stopping.set()
 
     def wait(self):
         """Wait until a planned stop is requested."""
-        stops.wait_until_asked(self._stopping)
+        shutdown.wait_for_stop_request(self._stopping)
 
     def _start_components(self):
         # Imported here, as a side does not need these modules.
-        from portwharf.entry import fewsides
-        from portwharf.entry import owners
-        from portwharf.entry import sides
+        from portwharf.entry import owner_client
+        from portwharf.entry import side_links
+        from portwharf.entry import side_subset
         from portwharf.peers import streams
-        from portwharf.platform import clients
+        from portwharf.platform import job_api
 
         enter = self._stack.enter_context
-        shared = enter(kv.open_budgeted_store(self._boot, self._clock))
+        shared = enter(
+            store_client.open_rate_limited_store(self._boot, self._clock)
+        )
         listing = enter(vmlist.Registration(shared, self._boot.vm))
         enter(
             configuration.ConfigWatcher(
@@ -100,18 +102,18 @@
             )
         )
         self._links = enter(
-            sides.LinkTable(
+            side_links.LinkTable(
                 listing,
                 lambda vm: streams.dial(vm.address, vm.port, None),
                 self._make_hello,
                 self._clock,
                 self._keeper,
-                fewsides.FewSides(self._boot.vm.name),
+                side_subset.SideSubset(self._boot.vm.name),
             )
         )
-        calls = owners.OwnerCalls(self._links, self._clock)
-        jobs = clients.JobApi(calls, self._keeper, self._clock, self._leaving)
-        ready = clients.ReadinessCheck(self._is_ready)
+        calls = owner_client.OwnerClient(self._links, self._clock)
+        jobs = job_api.JobApi(calls, self._keeper, self._clock, self._shutdown)
+        ready = job_api.ReadinessCheck(self._is_ready)
         pages = web.Pages(self._is_ready)
         vm = self._boot.vm
         self._client_server = self._serve(
@@ -179,7 +181,7 @@
 
     def request_stop(*_):
         program.stop()
-        stops.end_within(stop_seconds)
+        shutdown.exit_after(stop_seconds)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, request_stop)
--- a/packages/platform/portwharf/platform/programs_test.py
+++ b/packages/platform/portwharf/platform/programs_test.py
@@ -50,7 +50,7 @@
 @contextlib.contextmanager
 def start_entry(case):
     """Start an entry without an owner; yields its process and port."""
-    store = platform_store.PlatformStoreStandIn()
+    store = platform_store.FakePlatformStore()
     raw = base64.b64encode(json.dumps(CONFIG).encode())
     store.set_item('op/config', raw.decode())
     store_port = fixtures.serve(case, store, threads=16)
--- a/packages/platform/portwharf/platform/runner.py
+++ b/packages/platform/portwharf/platform/runner.py
@@ -7,12 +7,12 @@
 ``hold`` request has both lists, and the request renews leases as well. The
 runner's capacity comes with its heartbeats.
 
-A life is one run of the runner's process, from its start to its exit or
-crash; the next life may have the same instance id. Only the responses to the
-agent's thread settle which life is the current one. That thread sends one
-request at a time, so a response never comes from an earlier life than the
-response before it. Heartbeats and the responses to the watching thread may
-arrive late.
+An incarnation is one run of the runner's process, from its start to its exit
+or crash; the next incarnation may have the same instance id. Only the
+responses to the agent's thread settle which life is the current one. That
+thread sends one request at a time, so a response never comes from an earlier
+incarnation than the response before it. Heartbeats and the responses to the
+watching thread may arrive late.
 
 On the wire an attempt's number is called ``run``, and its checkpoint
 ``saved``. A running attempt is a row of task, run, checkpoint, percent and a
@@ -25,13 +25,13 @@
 
 import result
 
+from portwharf.core import bounded_cache
 from portwharf.core import data
 from portwharf.core import logs
-from portwharf.core import recent
-from portwharf.platform import ends
+from portwharf.platform import ended_attempts
 from portwharf.platform import http_client
-from portwharf.platform import line
 from portwharf.platform import metrics
+from portwharf.platform import runner_connection
 from portwharf.platform import runner_lists
 from portwharf import workers
 
@@ -54,9 +54,9 @@
 
 _REFUSALS = {
     'fence': workers.REFUSED_FENCE,
-    'late': workers.REFUSED_LATE,
-    'old': workers.REFUSED_OLD,
-    'room': workers.REFUSED_ROOM,
+    'late': workers.REFUSED_LEASE_EXPIRED,
+    'old': workers.REFUSED_ATTEMPT_OVER,
+    'room': workers.REFUSED_CAPACITY,
     'ticket': workers.REFUSED_TICKET,
 }
 _END_STATES = {
@@ -77,22 +77,26 @@
             has none yet
         :param max_hold_ms: the longest lease that the runner accepts
         """
-        self._fence = line.Fence(read_token)
-        self._order_conn = line.Line(endpoint, self._fence.read)
-        self._wait_conn = line.Line(endpoint, self._fence.read)
+        self._fence = runner_connection.FencingTokens(read_token)
+        self._order_conn = runner_connection.RunnerConnection(
+            endpoint, self._fence.read
+        )
+        self._wait_conn = runner_connection.RunnerConnection(
+            endpoint, self._fence.read
+        )
         self._max_hold_ms = max_hold_ms
         self._lock = threading.Lock()
-        self._lives = workers.Lives()
-        # Of the current life: its ended attempts, and the end of the latest
-        # lease on its clock.
-        self._ends = ends.Ends()
+        self._incarnations = workers.IncarnationTracker()
+        # Of the current incarnation: its ended attempts, and the end of the
+        # latest lease on its clock.
+        self._ends = ended_attempts.EndedAttempts()
         self._lease_until_ms = 0
-        # The life that sent the latest list. Orders are based on that list
-        # and go to this life only. The current life may be a later one whose
-        # list was lost.
-        self._listed_life = data.LifeId()
+        # The incarnation that sent the latest list. Orders are based on that
+        # list and go to this incarnation only. The current incarnation may be
+        # a later one whose list was lost.
+        self._listed_life = data.IncarnationId()
         # What attempts were started with, as listings do not include it.
-        self._starts = recent.Recent(MAX_REMEMBERED_STARTS)
+        self._starts = bounded_cache.BoundedCache(MAX_REMEMBERED_STARTS)
         self._on_change = None
         self._end_logged = threading.Event()
         self._stop = threading.Event()
@@ -109,9 +113,9 @@
         self._order_conn.close()
 
     def record_heartbeat(self, life):
-        """Take a ``workers.Life`` from a heartbeat."""
+        """Take a ``workers.Incarnation`` from a heartbeat."""
         with self._lock:
-            is_urgent = self._lives.offer(life)
+            is_urgent = self._incarnations.record_heartbeat(life)
         if is_urgent:
             self._notify()
 
@@ -124,17 +128,21 @@
             self._starts.put(key, start)
 
     def read_listing(self):
-        candidate = self._lives.candidate
-        answer = self._reach(self._order_conn).and_then(self._adopt_life)
+        candidate = self._incarnations.candidate
+        answer = self._reach(self._order_conn).and_then(
+            self._adopt_incarnation
+        )
         if answer.is_err() and answer.err_value.refused:
             # The runner's process is gone, and its attempts with it.
-            self._listed_life = data.LifeId()
+            self._listed_life = data.IncarnationId()
             return result.Ok(workers.Listing(absent=True))
         if answer.is_ok():
-            answer = self._hold(self._order_conn, self._lives.current.id)
+            answer = self._hold(
+                self._order_conn, self._incarnations.current.id
+            )
         if answer.is_err():
             return answer.map_err(_get_error_text)
-        self._drop_candidate(candidate)
+        self._discard_candidate(candidate)
         return answer.map(self._parse_listing)
 
     def renew(self, until_ms):
@@ -192,15 +200,15 @@
         return result.Ok(None)
 
     def _reach(self, conn):
-        """Connect to a known life.
+        """Connect to a known incarnation.
 
-        :param conn: the ``line.Line`` to use
-        :returns: Ok(data.LifeId), or Err(http_client.NoReply)
+        :param conn: the ``runner_connection.RunnerConnection`` to use
+        :returns: Ok(data.IncarnationId), or Err(http_client.NoReply)
         """
-        return conn.reach(self._lives.list_instances())
+        return conn.reach(self._incarnations.list_instances())
 
-    def _adopt_life(self, life):
-        """Make the life that has responded the current one.
+    def _adopt_incarnation(self, life):
+        """Make the incarnation that has responded the current one.
 
         Remembered starts are kept: the owner sends them once, possibly
         before the first heartbeat of the runner.
@@ -208,46 +216,49 @@
         :returns: Ok(None)
         """
         with self._lock:
-            if not self._lives.settle(life):
+            if not self._incarnations.confirm(life):
                 return result.Ok(None)
-            acked, self._ends = self._ends.acked, ends.Ends()
+            acked, self._ends = (
+                self._ends.acked,
+                ended_attempts.EndedAttempts(),
+            )
             self._lease_until_ms = 0
-        self._fence.rise()
+        self._fence.advance()
         extra = logs.fields(
             life=life.instance, born_ms=life.born_ms, acked=acked
         )
-        LOG.info('runner has a new life', extra=extra)
+        LOG.info('runner has a new incarnation', extra=extra)
         return result.Ok(None)
 
-    def _drop_candidate(self, candidate):
-        """Drop a candidate that another life's response has ruled out.
+    def _discard_candidate(self, candidate):
+        """Drop a candidate that another incarnation's response has ruled out.
 
         :param candidate: the candidate before the request was sent, or None
         """
-        if candidate is None or candidate.id == self._lives.current.id:
+        if candidate is None or candidate.id == self._incarnations.current.id:
             return
         with self._lock:
-            self._lives.refute(candidate)
+            self._incarnations.discard_candidate(candidate)
         extra = logs.fields(
             life=candidate.id.instance, born_ms=candidate.id.born_ms
         )
-        LOG.warning('late heartbeat of a former life', extra=extra)
+        LOG.warning('late heartbeat of an earlier incarnation', extra=extra)
 
     def _check_start(self, life):
         """Return the reason why nothing may be started, or ''.
 
-        A start's lease and resources are based on one life's listing. That
-        life need not be the current one, as the agent may still act on the
-        listing before the latest.
+        A start's lease and resources are based on one incarnation's listing.
+        That incarnation need not be the current one, as the agent may still
+        act on the listing before the latest.
         """
-        refused = self._lives.check_start()
+        refused = self._incarnations.check_start()
         if refused:
             return refused
         reached = self._reach(self._order_conn)
         if reached.is_err():
-            return workers.REFUSED_UNREACHED
+            return workers.REFUSED_UNREACHABLE
         if reached.ok_value != life:
-            return workers.REFUSED_UNHEARD
+            return workers.REFUSED_NO_HEARTBEAT
         return ''
 
     def _send_command(self, path, body):
@@ -258,10 +269,12 @@
             return result.Err(f'runner: HTTP status {status}')
         return answer.map(lambda _: None).map_err(_get_error_text)
 
-    def _order(self, conn, life, path, body, seconds=line.CALL_SECONDS):
-        """Send an order to one life only.
+    def _order(
+        self, conn, life, path, body, seconds=runner_connection.CALL_SECONDS
+    ):
+        """Send an order to one incarnation only.
 
-        :param life: the ``data.LifeId`` that the order is valid for
+        :param life: the ``data.IncarnationId`` that the order is valid for
         :returns: Ok(http_client.Reply), or Err(http_client.NoReply)
         """
         reached = self._reach(conn)
@@ -270,12 +283,12 @@
         if reached.ok_value != life:
             self._notify()
             return result.Err(
-                http_client.NoReply('the runner has another life')
+                http_client.NoReply('the runner has another incarnation')
             )
         return conn.order(path, body, seconds)
 
     def _hold(self, conn, life, until_ms=0, wait_ms=0):
-        """Request the lists of a life, and renew its leases.
+        """Request the lists of an incarnation, and renew its leases.
 
         :param until_ms: the new end of all leases, 0 to renew none
         :param wait_ms: how long the runner may delay its response until an
@@ -284,17 +297,19 @@
         """
         with self._lock:
             ended_attempts = self._ends
-            if life != self._lives.current.id:
+            if life != self._incarnations.current.id:
                 return result.Err(
-                    http_client.NoReply('the runner has another life')
+                    http_client.NoReply('the runner has another incarnation')
                 )
         body = {'ackedUpto': ended_attempts.acked}
         if until_ms:
             body['untilMs'] = until_ms
         if wait_ms:
             body['waitMs'] = wait_ms
-        seconds = line.CALL_SECONDS + wait_ms / _MS
-        answer = self._order(conn, life, line.HOLD_PATH, body, seconds)
+        seconds = runner_connection.CALL_SECONDS + wait_ms / _MS
+        answer = self._order(
+            conn, life, runner_connection.HOLD_PATH, body, seconds
+        )
         if answer.is_err():
             return answer
         if answer.ok_value.status != _OK:
@@ -307,17 +322,18 @@
             metrics.UNREADABLE.labels('list').inc()
             return result.Err(http_client.NoReply(f'malformed lists: {exc}'))
         if life.instance:
-            # The numbers of an unidentified life must not be acknowledged.
+            # The numbers of an unidentified incarnation must not be
+            # acknowledged.
             with self._lock:
                 ended_attempts.add_rows(value['ended'])
         return result.Ok(value)
 
     def _parse_listing(self, value):
         """Return the body of a ``hold`` response as a ``workers.Listing``."""
-        life = self._lives.current
+        life = self._incarnations.current
         self._listed_life = life.id
         now_ms = value['clockMs']
-        self._starts.use((row[0], row[1]) for row in value['running'])
+        self._starts.set_in_use((row[0], row[1]) for row in value['running'])
         running = [
             self._parse_running(row, now_ms) for row in value['running']
         ]
@@ -369,7 +385,7 @@
             ended_attempts = self._ends
             answer = self._hold(
                 self._wait_conn,
-                self._lives.current.id,
+                self._incarnations.current.id,
                 wait_ms=int(WAIT_SECONDS * _MS),
             )
             if answer.is_err():
--- a/packages/platform/portwharf/platform/line.py
+++ b/packages/platform/portwharf/platform/runner_connection.py
@@ -1,22 +1,22 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A connection to one life of the runner, and the side's fencing tokens.
-
-A life is one run of the runner's process, from its start to its exit or
-crash. An order names a life by its instance id only, and the next life may
-have the same id. But an order's content is valid for a single life: the
-highest end number that is acknowledged, a time on the runner's clock, a task
-that the owner knows to run there. A TCP connection leads to one process
-until it closes. So each new connection begins with a request that carries
-nothing valid for one life only, and the response identifies the life at the
-other end. Every later order on the connection reaches that life or none,
-also when it is carried out late.
+"""A connection to one incarnation of the runner, and its fencing tokens.
+
+An incarnation is one run of the runner's process, from its start to its exit
+or crash. An order names an incarnation by its instance id only, and the next
+incarnation may have the same id. But an order's content is valid for a single
+incarnation: the highest end number that is acknowledged, a time on the
+runner's clock, a task that the owner knows to run there. A TCP connection
+leads to one process until it closes. So each new connection begins with a
+request that carries nothing valid for one incarnation only, and the response
+identifies the incarnation at the other end. Every later order on the
+connection reaches that incarnation or none, also when it is carried out late.
 """
 
 import result
 
 from portwharf.core import data
-from portwharf.platform import beats
+from portwharf.platform import heartbeats
 from portwharf.platform import http_client
 
 HOLD_PATH = '/portwharf/hold'
@@ -24,20 +24,21 @@
 # unanswered must not delay the other orders for long.
 CALL_SECONDS = 0.4
 # A side's own token, a revision of the store, is multiplied by this, so that
-# each life of its runner gets a higher token. The product stays an exact JSON
-# integer (below 2^53).
+# each incarnation of its runner gets a higher token. The product stays an
+# exact JSON integer (below 2^53).
 LIVES_PER_TOKEN = 1024
 _OK = 200
 # 421 Misdirected Request: the order named another instance id.
 _MISDIRECTED = 421
 
 
-class Fence:
-    """The fencing tokens of one side, increasing with each runner life.
+class FencingTokens:
+    """The fencing tokens of one side, increasing with each runner incarnation.
 
     A runner may carry an order out seconds late. If an order for a former
-    life is carried out by the next life, which has the same id, that life
-    refuses the lower token once it has seen a token of this side for itself.
+    incarnation is carried out by the next incarnation, which has the same id,
+    that incarnation refuses the lower token once it has seen a token of this
+    side for itself.
     """
 
     __slots__ = ('_read_token', '_life_count')
@@ -51,19 +52,19 @@
         self._life_count = 0
 
     def read(self):
-        """Return the token for the current life, or 0."""
+        """Return the token for the current incarnation, or 0."""
         token = self._read_token()
         return token * LIVES_PER_TOKEN + self._life_count if token else 0
 
-    def rise(self):
-        """Move on to the next token, for a life that becomes current."""
+    def advance(self):
+        """Move on to the next token, for the new current incarnation."""
         self._life_count = min(self._life_count + 1, LIVES_PER_TOKEN - 1)
 
 
-class Line:
+class RunnerConnection:
     """One connection to the runner, used by one thread.
 
-    :ivar life: the ``data.LifeId`` at the other end, or None
+    :ivar life: the ``data.IncarnationId`` at the other end, or None
     """
 
     __slots__ = ('life', '_conn', '_read_token')
@@ -79,16 +80,16 @@
         self._read_token = read_token
 
     def close(self):
-        """Close the connection and forget the life at its other end."""
+        """Close the connection and forget the incarnation at its other end."""
         self._conn.close()
         self.life = None
 
     def reach(self, instances):
-        """Ensure that the connection leads to a known life.
+        """Ensure that the connection leads to a known incarnation.
 
         :param instances: instance ids to try, most likely first; '' sends
-            no id, and the life that answers has an unknown one
-        :returns: Ok(data.LifeId), or Err(http_client.NoReply)
+            no id, and the incarnation that answers has an unknown one
+        :returns: Ok(data.IncarnationId), or Err(http_client.NoReply)
         """
         if not self._conn.is_open:
             self.life = None
@@ -104,9 +105,9 @@
         return self._identify_life(instances)
 
     def order(self, path, body, seconds=CALL_SECONDS):
-        """Send an order to the life at the other end.
+        """Send an order to the incarnation at the other end.
 
-        The connection is closed if another life answers, or none.
+        The connection is closed if another incarnation answers, or none.
 
         :returns: Ok(http_client.Reply), or Err(http_client.NoReply)
         """
@@ -133,15 +134,17 @@
         return result.Err(http_client.NoReply(f'HTTP status {reply.status}'))
 
     def _record_life(self, instance, value):
-        """Record the life that answered the first request."""
+        """Record the incarnation that answered the first request."""
         try:
-            self.life = data.LifeId(instance, beats.read_birth(value))
+            self.life = data.IncarnationId(
+                instance, heartbeats.read_birth_time(value)
+            )
         except ValueError as exc:
             return result.Err(http_client.NoReply(str(exc)))
         return result.Ok(self.life)
 
     def _check_life(self, reply):
-        """Return Ok(reply) unless another life sent it.
+        """Return Ok(reply) unless another incarnation sent it.
 
         Replies with lists carry the birth time. It differs if a restarted
         runner has kept its connections.
@@ -149,7 +152,7 @@
         born_ms = reply.value.get('born', self.life.born_ms)
         if born_ms != self.life.born_ms:
             return result.Err(
-                http_client.NoReply('another life replied', sent=True)
+                http_client.NoReply('another incarnation replied', sent=True)
             )
         return result.Ok(reply)
 
--- a/packages/platform/portwharf/platform/rebirth_test.py
+++ b/packages/platform/portwharf/platform/runner_restart_test.py
@@ -1,26 +1,27 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A runner that restarts under its former instance id is a new life.
+"""A runner that restarts under its former instance id is a new incarnation.
 
 Failure: two tasks of a short job were run twice, one of them 44 ms after its
 first attempt had succeeded and its end had been recorded.
 
 Sequence: workers crashed and restarted within a second with the same instance
 ids. One of them had listed thirty ended attempts before, all of which were
-acknowledged. Its next life numbered its ended attempts from one. As the id was
-the same, the side took it for the former life. It ignored ended attempts whose
-numbers it had acknowledged before, and its next request acknowledged the
-former number, so that the worker dropped them. The attempts were missing from
-the next listing, were reported as gone, and were started elsewhere.
-
-Evidence: the side logged the crash and no new life after it. 2 s later it
-logged "attempt is gone, not listed any more" for attempts that users saw
+acknowledged. Its next incarnation numbered its ended attempts from one. As the
+id was the same, the side took it for the former incarnation. It ignored ended
+attempts whose numbers it had acknowledged before, and its next request
+acknowledged the former number, so that the worker dropped them. The attempts
+were missing from the next listing, were reported as gone, and were started
+elsewhere.
+
+Evidence: the side logged the crash and no new incarnation after it. 2 s later
+it logged "attempt is gone, not listed any more" for attempts that users saw
 succeed, while no worker had crashed at that time. With ``sight`` log lines for
 births, the number acknowledged before the birth was higher than the numbers of
 the lost attempts.
 
-Cause: end numbers, heartbeats, leases and listings were assigned to lives by
-the instance id alone, which is not unique.
+Cause: end numbers, heartbeats, leases and listings were assigned to
+incarnations by the instance id alone, which is not unique.
 """
 
 import threading
@@ -29,7 +30,7 @@
 import result
 
 from portwharf.core import data
-from portwharf.platform import beats
+from portwharf.platform import heartbeats
 from portwharf.platform import http_client
 from portwharf.platform import runner
 from portwharf.testing import platform_runner
@@ -48,7 +49,7 @@
         self.standin, place = platform_runner.serve_runner(case)
         self.client = runner.RunnerWorker(place, lambda: 7, MAX_HOLD_MS)
         self.deliver_heartbeat()
-        # The life that sent the latest listing.
+        # The incarnation that sent the latest listing.
         self.life = None
         self.read_listing()
 
@@ -58,7 +59,7 @@
 
     def deliver_late_heartbeat(self, body, instance='i-1'):
         """Deliver a heartbeat that was created earlier."""
-        self.client.record_heartbeat(beats.parse_life(instance, body))
+        self.client.record_heartbeat(heartbeats.parse_life(instance, body))
 
     def read_listing(self):
         """Read and return the runner's listing."""
@@ -120,7 +121,7 @@
     case.assertEqual(numbers, {0})
 
 
-def test_end_in_a_life_under_a_former_id_is_told_at_once(case):
+def test_end_under_a_reused_id_is_reported_at_once(case):
     side = Runner(case)
     side.run_and_acknowledge(FIRST)
     side.restart()
@@ -172,14 +173,14 @@
     side = Runner(case)
     side.restart()
     side.read_listing()
-    case.assertEqual(side.start(FIRST), workers.REFUSED_UNHEARD)
+    case.assertEqual(side.start(FIRST), workers.REFUSED_NO_HEARTBEAT)
     side.deliver_heartbeat()
     side.read_listing()
     case.assertEqual(side.start(FIRST), '')
 
 
-def test_orders_for_a_former_life_do_not_reach_the_next(case):
-    """A time on the former life's clock is far ahead on the next one's.
+def test_orders_do_not_reach_the_next_incarnation(case):
+    """A time on the former incarnation's clock is far ahead on the next one's.
 
     The lease would be as long as the runner accepts, and outlast the time
     after which an owner places the task elsewhere.
@@ -196,8 +197,8 @@
     case.assertEqual(lease_orders, [])
 
 
-def test_late_order_of_a_former_life_is_refused_by_the_next(case):
-    """Both have the instance id, and the next life has seen no token."""
+def test_late_order_is_refused_by_the_next_incarnation(case):
+    """Both have the instance id; the next incarnation has seen no token."""
     side = Runner(case)
     side.start(FIRST)
     late = side.standin.orders[-1]
@@ -220,7 +221,7 @@
 
 
 def test_restart_that_keeps_its_connections_is_noticed(case):
-    """A listing of the next life is not assigned to the former one."""
+    """A listing of the next incarnation is not assigned to the former one."""
     side = Runner(case)
     side.run_and_acknowledge(FIRST)
     former = side.read_listing().life
@@ -245,14 +246,14 @@
 
 
 def test_no_order_is_based_on_the_listing_of_a_former_life(case):
-    """The next life is known, and its first listing was lost."""
+    """The next incarnation is known, and its first listing was lost."""
     side = Runner(case)
     side.restart()
     side.deliver_heartbeat()
     lost = result.Err(http_client.NoReply('lost'))
     with mock.patch.object(side.client, '_hold', lambda *_, **__: lost):
         case.assertTrue(side.client.read_listing().is_err())
-    case.assertEqual(side.start(FIRST), workers.REFUSED_UNHEARD)
+    case.assertEqual(side.start(FIRST), workers.REFUSED_NO_HEARTBEAT)
     case.assertTrue(side.client.renew(10**9).is_err())
     side.read_listing()
     case.assertEqual(side.start(FIRST), '')
--- a/packages/platform/portwharf/platform/runner_test.py
+++ b/packages/platform/portwharf/platform/runner_test.py
@@ -7,14 +7,14 @@
 
 from portwharf.core import data
 from portwharf.core import settings
-from portwharf.platform import line
 from portwharf.platform import runner
+from portwharf.platform import runner_connection
 from portwharf.testing import platform_runner
 from portwharf import workers
 
 TASK = '5c0e7a21d94b36f8.0.0.1'
 SIZE = data.Resources(8000, 1000)
-LIFE = data.LifeId('i-1', platform_runner.FIRST_BORN_MS)
+LIFE = data.IncarnationId('i-1', platform_runner.FIRST_BORN_MS)
 
 
 def open_runner(case, token=7):
@@ -27,10 +27,10 @@
 
 
 def make_life(instance='i-1', **fields):
-    """Return the ``workers.Life`` that a heartbeat describes."""
+    """Return the ``workers.Incarnation`` that a heartbeat describes."""
     born_ms = platform_runner.FIRST_BORN_MS + int(instance[2:]) - 1
-    life = data.LifeId(instance, born_ms)
-    return workers.Life(life, 'pool', 'zone', SIZE, ['a'], **fields)
+    life = data.IncarnationId(instance, born_ms)
+    return workers.Incarnation(life, 'pool', 'zone', SIZE, ['a'], **fields)
 
 
 def start(client, attempt=1, task=TASK):
@@ -61,7 +61,7 @@
 
 def test_nothing_is_ordered_without_a_token(case):
     client, standin = open_runner(case, token=0)
-    case.assertEqual(start(client).ok_value, workers.REFUSED_UNHEARD)
+    case.assertEqual(start(client).ok_value, workers.REFUSED_NO_HEARTBEAT)
     case.assertTrue(client.stop(TASK, 1, True).is_err())
     case.assertTrue(client.renew(5000).is_err())
     case.assertEqual(standin.orders, [])
@@ -82,7 +82,7 @@
     order.life = LIFE
     order.ticket = 'wrong'
     refused = client.start(order).ok_value
-    case.assertIn(refused, workers.SOUND_REFUSALS)
+    case.assertIn(refused, workers.EXPECTED_REFUSALS)
     order.ticket = 'right'
     case.assertEqual(client.start(order).ok_value, '')
 
@@ -92,19 +92,19 @@
     start(client)
     case.assertEqual(start(client).ok_value, '')
     standin.end_run(TASK)
-    case.assertEqual(start(client).ok_value, workers.REFUSED_OLD)
+    case.assertEqual(start(client).ok_value, workers.REFUSED_ATTEMPT_OVER)
 
 
 def test_stopped_attempt_cannot_be_started_later(case):
     client, _ = open_runner(case)
     case.assertTrue(client.stop(TASK, 1, True).is_ok())
-    case.assertEqual(start(client).ok_value, workers.REFUSED_OLD)
+    case.assertEqual(start(client).ok_value, workers.REFUSED_ATTEMPT_OVER)
     case.assertEqual(start(client, 2).ok_value, '')
 
 
 def test_former_side_is_refused(case):
     client, standin = open_runner(case)
-    standin.fence = 8 * line.LIVES_PER_TOKEN
+    standin.fence = 8 * runner_connection.LIVES_PER_TOKEN
     case.assertEqual(start(client).ok_value, workers.REFUSED_FENCE)
 
 
@@ -283,7 +283,7 @@
     client = runner.RunnerWorker(place, lambda: 7, 6000)
     client.record_heartbeat(make_life('i-0'))
     client.read_listing()
-    case.assertEqual(start(client).ok_value, workers.REFUSED_UNHEARD)
+    case.assertEqual(start(client).ok_value, workers.REFUSED_NO_HEARTBEAT)
     case.assertEqual(standin.running, {})
 
 
@@ -299,7 +299,7 @@
 
 
 def test_late_heartbeat_of_a_former_life_keeps_resources(case):
-    """A heartbeat may be delayed until after those of the next life.
+    """A heartbeat may be delayed until after those of the next incarnation.
 
     It must not change the resources that running attempts hold, as the owner
     does not send them again on the same connection.
--- a/packages/platform/portwharf/platform/runner_walk_test.py
+++ b/packages/platform/portwharf/platform/runner_walk_test.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """A random walk of a runner's client while the runner restarts.
 
-Heartbeats come late, responses are lost, connections break, and each life has
-the instance id of the life before it. Invariants: no ended attempt is
-acknowledged before it is logged, no listed one is ignored, and no lease is
-longer than intended.
+Heartbeats come late, responses are lost, connections break, and each
+incarnation has the instance id of the incarnation before it. Invariants: no
+ended attempt is acknowledged before it is logged, no listed one is ignored,
+and no lease is longer than intended.
 """
 
 import random
@@ -14,10 +14,10 @@
 import result
 
 from portwharf.core import data
-from portwharf.platform import beats
+from portwharf.platform import heartbeats
 from portwharf.platform import http_client
-from portwharf.platform import line
 from portwharf.platform import runner
+from portwharf.platform import runner_connection
 from portwharf.testing import platform_runner
 from portwharf import workers
 
@@ -33,7 +33,7 @@
     """An invariant was violated."""
 
 
-class Runner(platform_runner.RunnerStandIn):
+class Runner(platform_runner.FakePlatformRunner):
     """A runner with a manual clock that records what is acknowledged."""
 
     def __init__(self):
@@ -61,7 +61,7 @@
             raise InvariantError(f'a lease until {until} at {self.now_ms}')
         verb = path.removeprefix('/portwharf/')
         before = {(row[1], row[2]) for row in self.ended}
-        status, value = self._obey(verb, body, meant)
+        status, value = self._execute(verb, body, meant)
         self.acknowledged |= before - {(row[1], row[2]) for row in self.ended}
         if 'born' in value:
             value['born'] = self.reported_born_ms or self.born_ms
@@ -69,7 +69,7 @@
 
 
 class Connection:
-    """A connection to the life that ran when it was opened."""
+    """A connection to the incarnation that ran when it was opened."""
 
     def __init__(self, standin):
         self._standin = standin
@@ -77,11 +77,11 @@
 
     @property
     def is_open(self):
-        """Whether its life still runs."""
+        """Whether its incarnation still runs."""
         return self._born_ms == self._standin.born_ms
 
     def open(self, seconds):
-        """Connect to the current life."""
+        """Connect to the current incarnation."""
         self._born_ms = self._standin.born_ms
         return result.Ok(None)
 
@@ -90,7 +90,7 @@
         self._born_ms = None
 
     def call(self, method, path, seconds, body, headers):
-        """Send a request, unless its life has ended."""
+        """Send a request, unless its incarnation has ended."""
         if not self.is_open:
             return result.Err(http_client.NoReply('reset', sent=True))
         meant = headers.get('Portwharf-Target-Instance', '')
@@ -138,12 +138,12 @@
             born=standin.reported_born_ms or standin.born_ms
         )
         self.heartbeats.append(body)
-        self.client.record_heartbeat(beats.parse_life('i-1', body))
+        self.client.record_heartbeat(heartbeats.parse_life('i-1', body))
 
     def deliver_late_heartbeat(self):
-        """Deliver an earlier heartbeat again, possibly of a former life."""
+        """Deliver a heartbeat again, possibly of a former incarnation."""
         body = self.random.choice(self.heartbeats)
-        self.client.record_heartbeat(beats.parse_life('i-1', body))
+        self.client.record_heartbeat(heartbeats.parse_life('i-1', body))
 
     def read_listing(self):
         """Read the listing, and log the ended attempts in it.
@@ -227,10 +227,12 @@
 def walk_all(reported_born_ms=None):
     """Walk for each seed; returns the first violation, or None.
 
-    :param reported_born_ms: the birth time that all lives report, None for
-        the true one of each
+    :param reported_born_ms: the birth time that all incarnations report, None
+        for the true one of each
     """
-    with mock.patch.object(line.http_client, 'Connection', Connection):
+    with mock.patch.object(
+        runner_connection.http_client, 'Connection', Connection
+    ):
         for seed in range(SEEDS):
             try:
                 Walk(seed, reported_born_ms).run()
@@ -250,7 +252,10 @@
 
 def test_walks_find_starts_based_on_the_listing_of_another_life(case):
     def check(self, life):
-        return self._lives.check_start() or self._reach(self._order_conn).err()
+        return (
+            self._incarnations.check_start()
+            or self._reach(self._order_conn).err()
+        )
 
     with mock.patch.object(runner.RunnerWorker, '_check_start', check):
         case.assertIsNotNone(walk_all())
--- a/packages/platform/portwharf/platform/side_environment.py
+++ b/packages/platform/portwharf/platform/side_environment.py
@@ -4,11 +4,11 @@
 
 from portwharf.core import web
 from portwharf.platform import advice
-from portwharf.platform import beats
 from portwharf.platform import decoding
-from portwharf.platform import kv
+from portwharf.platform import heartbeats
 from portwharf.platform import runner
-from portwharf.side import outside
+from portwharf.platform import store_client
+from portwharf.side import external_services
 from portwharf import vmlist
 
 # How long a call waits for the registration, which provides the token.
@@ -16,7 +16,7 @@
 _HEARTBEAT_THREADS = 2
 
 
-class PlatformEnvironment(outside.Outside):
+class PlatformEnvironment(external_services.ExternalServices):
     """Opens the platform's store, VM registration, runner and policy."""
 
     config_key = decoding.CONFIG_KEY
@@ -28,7 +28,7 @@
         self._registration = None
 
     def open_store(self, clock):
-        return kv.open_budgeted_store(self._boot, clock)
+        return store_client.open_rate_limited_store(self._boot, clock)
 
     def open_vm_list(self, kv):
         self._registration = vmlist.Registration(kv, self._boot.vm)
@@ -61,7 +61,7 @@
 
     def __init__(self, endpoint, read_token, max_hold_ms, heartbeat_endpoint):
         super().__init__(endpoint, read_token, max_hold_ms)
-        app = beats.HeartbeatReceiver(self.record_heartbeat)
+        app = heartbeats.HeartbeatReceiver(self.record_heartbeat)
         self._server = web.Server(
             heartbeat_endpoint.address,
             heartbeat_endpoint.port,
--- a/packages/platform/portwharf/platform/kv.py
+++ b/packages/platform/portwharf/platform/store_client.py
@@ -31,7 +31,7 @@
 _CONFLICT = 412
 _HISTORY_GONE = 410
 # Statuses that guarantee that nothing was changed.
-_NOT_DONE = (400, 403, 404, 429, 503)
+_UNCHANGED_STATUSES = (400, 403, 404, 429, 503)
 _MS = 1000
 
 
@@ -227,7 +227,7 @@
         status = reply.ok_value.status
         if status in expected:
             return reply
-        unknown = mutates and status not in _NOT_DONE
+        unknown = mutates and status not in _UNCHANGED_STATUSES
         return result.Err(store.StoreError(f'HTTP status {status}', unknown))
 
 
@@ -250,7 +250,7 @@
     )
 
 
-def open_budgeted_store(settings, clock):
+def open_rate_limited_store(settings, clock):
     """Return the platform's store, limited to this process's call rate.
 
     :param settings: a ``boot.BootSettings``
@@ -258,4 +258,4 @@
     """
     inner = PlatformStore(settings.store)
     rate = settings.store_calls
-    return store.BudgetedStore(inner, clock, rate, 2 * rate)
+    return store.RateLimitedStore(inner, clock, rate, 2 * rate)
--- a/packages/platform/portwharf/platform/kv_test.py
+++ b/packages/platform/portwharf/platform/store_client_test.py
@@ -3,7 +3,7 @@
 """The platform's store fulfils the contract of ``store.LeaseStore``."""
 
 from portwharf.core import settings
-from portwharf.platform import kv
+from portwharf.platform import store_client
 from portwharf.scheduler import configuration
 from portwharf.scheduler import events
 from portwharf.scheduler import shardlog
@@ -14,10 +14,10 @@
 
 def open_store(case):
     """Return a client of a stand-in store, and the stand-in."""
-    standin = platform_store.PlatformStoreStandIn()
+    standin = platform_store.FakePlatformStore()
     port = fixtures.serve(case, standin)
     endpoint = settings.Endpoint('127.0.0.1', port)
-    return case.enterContext(kv.PlatformStore(endpoint)), standin
+    return case.enterContext(store_client.PlatformStore(endpoint)), standin
 
 
 def test_key_is_created_once(case):
@@ -121,7 +121,7 @@
 
 
 def test_lost_watch_is_replaced_within_the_contact_limit(case):
-    noticed_seconds = kv.WATCH_SECONDS + kv.CALL_SECONDS
+    noticed_seconds = store_client.WATCH_SECONDS + store_client.CALL_SECONDS
     read_again_seconds = noticed_seconds + 1.5 * configuration.RETRY_SECONDS
     # The platform's contact limit, contactMs in its bounds.
     case.assertLess(read_again_seconds, 3.0)
--- a/packages/scheduler/portwharf/scheduler/batches.py
+++ b/packages/scheduler/portwharf/scheduler/batches.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reported:
+class ReportsItem:
     """A side's task reports, to be processed by the next pass.
 
     :param link: the link to the side
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Measured:
+class MeasurementsItem:
     """A side's measurements of its services, for the next pass."""
 
     vm: str = ''
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Called:
+class OperatorCall:
     """An operator's call that changes state, for the next pass.
 
     :param fut: the future that gets the answer
@@ -47,31 +47,31 @@
 class Batch:
     """The events of one pass, and the actions around logging them.
 
-    ``events`` holds the events, ``early`` and ``effects`` the functions to
-    call before and after the events are logged.
+    ``events`` holds the events, ``before_commit`` and ``after_commit`` the
+    functions to call before and after the events are logged.
     """
 
     def __init__(self):
         self.events = []
-        self.early = []
-        self.effects = []
+        self.before_commit = []
+        self.after_commit = []
 
-    def send_early(self, link, message):
+    def send_before_commit(self, link, message):
         """Send a message that needs only events that are logged already."""
         if link is not None:
-            self.early.append(lambda: link.send(message))
+            self.before_commit.append(lambda: link.send(message))
 
     def send(self, link, message):
         """Send a message after the events are logged."""
         if link is not None:
-            self.effects.append(lambda: link.send(message))
+            self.after_commit.append(lambda: link.send(message))
 
     def answer(self, fut, value):
         """Answer an operator after the events are logged."""
-        self.effects.append(lambda: fut.set_result(value))
+        self.after_commit.append(lambda: fut.set_result(value))
 
 
-class Step(enum.Enum):
+class StepResult(enum.Enum):
     """The result of one step of the deciding thread."""
 
     DONE = 1
--- a/packages/scheduler/portwharf/scheduler/configuration.py
+++ b/packages/scheduler/portwharf/scheduler/configuration.py
@@ -209,7 +209,7 @@
         """Return the :class:`Configuration` in force."""
         return self._current
 
-    def follow(self, call):
+    def add_listener(self, call):
         """Register a function without arguments, called after each change."""
         self._listeners.append(call)
 
@@ -218,7 +218,7 @@
         current = self._current
         return messages.ConfigUpdate(current.revision, current.text)
 
-    def offer(self, revision, text):
+    def update(self, revision, text):
         """Put a configuration in force if it is newer and valid.
 
         :returns: whether it is now in force
@@ -298,7 +298,7 @@
         return False
 
     def _offer(self, entry):
-        self._keeper.offer(entry.revision, entry.value.decode())
+        self._keeper.update(entry.revision, entry.value.decode())
 
 
 def propose_configuration(kv, base_revision, text):
--- a/packages/scheduler/portwharf/scheduler/configuration_test.py
+++ b/packages/scheduler/portwharf/scheduler/configuration_test.py
@@ -86,23 +86,23 @@
 
 def test_keeper_takes_only_higher_revisions(case):
     keeper = configuration.ConfigKeeper()
-    case.assertTrue(keeper.offer(5, TEXT))
-    case.assertFalse(keeper.offer(5, OTHER_TEXT))
-    case.assertFalse(keeper.offer(4, OTHER_TEXT))
+    case.assertTrue(keeper.update(5, TEXT))
+    case.assertFalse(keeper.update(5, OTHER_TEXT))
+    case.assertFalse(keeper.update(4, OTHER_TEXT))
     case.assertEqual(keeper.read().text, TEXT)
 
 
 def test_invalid_update_is_not_put_in_force(case):
     keeper = configuration.ConfigKeeper()
-    keeper.offer(5, TEXT)
-    case.assertFalse(keeper.offer(6, '[weights]\nevictions = -1\n'))
+    keeper.update(5, TEXT)
+    case.assertFalse(keeper.update(6, '[weights]\nevictions = -1\n'))
     case.assertEqual(keeper.read().revision, 5)
 
 
 def test_listeners_are_called_once_for_a_change(case):
     keeper = configuration.ConfigKeeper()
     revisions = []
-    keeper.follow(lambda: revisions.append(keeper.read().revision))
-    keeper.offer(5, TEXT)
-    keeper.offer(4, OTHER_TEXT)
+    keeper.add_listener(lambda: revisions.append(keeper.read().revision))
+    keeper.update(5, TEXT)
+    keeper.update(4, OTHER_TEXT)
     case.assertEqual(revisions, [5])
--- a/packages/scheduler/portwharf/scheduler/crashloop.py
+++ b/packages/scheduler/portwharf/scheduler/crashloop.py
@@ -11,7 +11,7 @@
 
 from portwharf.core import data
 from portwharf.scheduler import decisionlog
-from portwharf.scheduler.decisions import planning
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler import events
 from portwharf.scheduler import metrics
 from portwharf.scheduler import suspects
@@ -19,7 +19,7 @@
 _MS = 1000
 
 
-class CrashLoops:
+class CrashLoopDetector:
     """Tracks one owner's suspects; used only by its deciding thread."""
 
     def __init__(self, clock, state, members):
@@ -27,7 +27,7 @@
         self._clock = clock
         self._state = state
         self._members = members
-        self._times = suspects.CrashTimes(clock.read_monotonic())
+        self._times = suspects.CrashHistory(clock.read_monotonic())
         # When suspects' attempts were reported as running, by (task, attempt).
         self._running_since = {}
         # (task, attempt) of attempts that were started as trials.
@@ -35,7 +35,7 @@
         # Tasks whose workers crashed, as reported in this pass.
         self._crashed = []
 
-    def take_report(self, vm, report):
+    def record_report(self, vm, report):
         """Process a ``messages.TaskReport``, after the state has."""
         now = self._clock.read_monotonic()
         if report.crash:
@@ -48,7 +48,7 @@
             name = (report.task, report.attempt)
             self._running_since.setdefault(name, now)
 
-    def judge(self, batch, add, note_ended):
+    def resolve_suspects(self, batch, add, note_ended):
         """Give up or clear suspects.
 
         Must be called after all reports of a pass: suspects can be compared
@@ -60,10 +60,10 @@
         """
         crashed, self._crashed = self._crashed, []
         for task in crashed:
-            if len(task.crashes) >= suspects.SUSPICIOUS:
+            if len(task.crashes) >= suspects.SUSPECT_CRASHES:
                 decisionlog.log_suspect(task)
         for task in list(self._state.suspects.values()):
-            if self._assess(task) is suspects.Verdict.GIVE_UP:
+            if self._assess(task) is suspects.ReportOutcome.GIVE_UP:
                 ended = self._give_up(task, batch, add)
                 note_ended(ended, batch)
         for task in self._list_cleared():
@@ -71,15 +71,15 @@
             add(batch, events.TaskCleared(task.id))
         metrics.SUSPECTS.set(len(self._state.suspects))
 
-    def list_held(self):
+    def list_held_back(self):
         """Return the ids of tasks that must not be placed now."""
         return {
             task.id
             for task in self._state.suspects.values()
-            if self._assess(task) is suspects.Verdict.HOLD
+            if self._assess(task) is suspects.ReportOutcome.HOLD
         }
 
-    def mark_unsteady(self, views):
+    def mark_unstable(self, views):
         """Mark the VMs whose workers crashed recently.
 
         :param views: list of ``vmview.VmView``
@@ -89,9 +89,9 @@
         for view in views:
             view.unsteady = view.vm.name in unstable
 
-    def note_placed(self, task):
+    def record_placement(self, task):
         """Record the placement of a task, as a trial if it is a suspect."""
-        if len(task.crashes) >= suspects.SUSPICIOUS:
+        if len(task.crashes) >= suspects.SUSPECT_CRASHES:
             self._trials.add((task.id, task.attempt))
 
     def _assess(self, task):
@@ -105,7 +105,7 @@
         metrics.GIVEN_UP.inc()
         self._times.forget(one.name for one in task.crashes)
         now_ms = self._clock.read_unix_ms()
-        decision = planning.explain_crasher(task, now_ms)
+        decision = pass_inputs.explain_crasher(task, now_ms)
         add(batch, events.DecisionMade(decision))
         failed = data.TaskState.FAILED
         ended = events.TaskEnded(task.id, task.attempt, failed, crasher=True)
--- a/packages/scheduler/portwharf/scheduler/decider.py
+++ b/packages/scheduler/portwharf/scheduler/decider.py
@@ -18,16 +18,16 @@
 from portwharf.scheduler import decisionlog
 from portwharf.scheduler.decisions import forecast
 from portwharf.scheduler.decisions import gangs
-from portwharf.scheduler.decisions import planning
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler.decisions import precedence
-from portwharf.scheduler.decisions import pressure
-from portwharf.scheduler.decisions import rehoming
+from portwharf.scheduler.decisions import service_protection
+from portwharf.scheduler.decisions import task_moves
 from portwharf.scheduler import events
 from portwharf.scheduler import job_operations
 from portwharf.scheduler import metrics
 from portwharf.scheduler import operations
 from portwharf.scheduler import policy
-from portwharf.scheduler import preparing
+from portwharf.scheduler import prepared_starts
 from portwharf.scheduler import reconcile
 from portwharf.scheduler import rosters
 
@@ -46,8 +46,8 @@
         :param env: an ``environment.Environment``
         :param state: the ``state.ShardState``
         :param grant_table: a ``grants.GrantTable``
-        :param health: a ``health.Health``
-        :param advisor: a ``policy.Advisor``, or None
+        :param health: a ``health.WorkerHealthTracker``
+        :param advisor: a ``policy.TicketCache``, or None
         """
         self._advisor = advisor
         self._env = env
@@ -60,15 +60,17 @@
         # The VMs that submissions of one pass are checked against.
         self._views = None
         began = env.clock.read_monotonic()
-        self.pressure = pressure.Pressure(state, began)
+        self.service_protection = service_protection.ServiceProtection(
+            state, began
+        )
         self.runtimes = forecast.RunTimes()
-        self.preparation = preparing.Preparation(state)
+        self.preparation = prepared_starts.PreparedStarts(state)
         self.rosters = rosters.RosterKeeper(state)
         # ``placement.Waiting`` of the last pass, by workload id.
         self.waiting = {}
-        self._patience = planning.Patience()
+        self._patience = pass_inputs.Patience()
         self._wait_log = decisionlog.WaitLog()
-        self._shunned = rehoming.Shunned()
+        self._move_history = task_moves.MoveHistory()
         # (task, attempt) rows that a VM should run but did not list, by VM.
         self._missing = {}
         # Ended jobs whose end is not logged yet and must not be shown.
@@ -77,7 +79,7 @@
     def set_members(self, members):
         """Set the ``membership.Membership``, which depends on this object."""
         self._members = members
-        self._crashloops = crashloop.CrashLoops(
+        self._crashloops = crashloop.CrashLoopDetector(
             self._env.clock, self._state, members
         )
 
@@ -91,13 +93,15 @@
         batch = batches.Batch()
         self._views = None
         for item in items:
-            if isinstance(item, batches.Reported):
-                self._judge(item, batch)
-            elif isinstance(item, batches.Measured):
+            if isinstance(item, batches.ReportsItem):
+                self._process_reports(item, batch)
+            elif isinstance(item, batches.MeasurementsItem):
                 self._record_measures(item)
             elif item is not None:
                 self._execute_call(item, batch)
-        self._crashloops.judge(batch, self._apply_event, self._handle_task_end)
+        self._crashloops.resolve_suspects(
+            batch, self._apply_event, self._handle_task_end
+        )
         self._record_checkpoints(batch)
         self._record_run_times()
         self._send_missing(batch)
@@ -110,12 +114,12 @@
         self._update_roster(batch)
         return batch
 
-    def _judge(self, item, batch):
+    def _process_reports(self, item, batch):
         """Process a side's reports.
 
-        :param item: a ``batches.Reported``
+        :param item: a ``batches.ReportsItem``
         """
-        verdict = reconcile.Verdict()
+        verdict = reconcile.ReportOutcome()
         name = item.link.name
         # Reports from an earlier connection are not a complete list any
         # more: the side may have restarted since.
@@ -129,13 +133,13 @@
             )
             self._missing[name] = [(task.id, task.attempt) for task in missing]
             item.link.view.reported = True
-            self.pressure.note_lost(name)
+            self.service_protection.note_lost(name)
         for report in item.message.reports:
             self._record_health(name, report)
             if report.task in self._state.tasks:
                 decisionlog.log_attempt_end(name, report)
-            reconcile.judge_report(self._state, name, report, verdict)
-            self._crashloops.take_report(name, report)
+            reconcile.process_report(self._state, name, report, verdict)
+            self._crashloops.record_report(name, report)
         batch.events.extend(verdict.events)
         decisionlog.log_successes(
             name, verdict.events, self.runtimes.find_measured
@@ -227,7 +231,9 @@
                 now_ms = self._env.clock.read_unix_ms()
                 decisionlog.log_job_end(job, job_state, now_ms)
             self.unlogged_job_ends.add(name)
-            batch.effects.append(lambda: self.unlogged_job_ends.discard(name))
+            batch.after_commit.append(
+                lambda: self.unlogged_job_ends.discard(name)
+            )
 
     def _stop_gang(self, event, batch):
         """Evict the other members of a gang when one has ended.
@@ -239,16 +245,18 @@
             return
         now_ms = self._env.clock.read_unix_ms()
         for task in gangs.list_broken(record):
-            self._evict_task(task, planning.REASON_BROKEN, now_ms, batch)
+            self._evict_task(task, pass_inputs.REASON_BROKEN, now_ms, batch)
 
     def _record_measures(self, item):
         """Record a side's measurements of its services.
 
-        :param item: a ``batches.Measured``
+        :param item: a ``batches.MeasurementsItem``
         """
         targets = self._env.keeper.read().targets
         now = self._env.clock.read_monotonic()
-        self.pressure.note_measures(item.vm, item.measures, targets, now)
+        self.service_protection.note_measures(
+            item.vm, item.measures, targets, now
+        )
 
     def _record_health(self, vm, report):
         """Update the health of a VM's worker by a report of an attempt."""
@@ -259,21 +267,21 @@
         workload = record.id
         now = self._env.clock.read_monotonic()
         if report.state == data.RunState.SUCCEEDED:
-            self._health.note_success(vm)
+            self._health.record_success(vm)
         elif report.state == data.RunState.FAILED or report.at_worker:
             job = record.workload.job
-            if self._health.note_failure(vm, workload, now, job):
+            if self._health.record_failure(vm, workload, now, job):
                 LOG.warning('worker quarantined', extra=logs.fields(vm=vm))
         elif report.reason in _HEALTHY_REFUSALS:
             # These refusals say nothing about the health of the worker.
             return
         elif report.state == data.RunState.REFUSED:
-            self._health.note_refusal(vm, workload, now)
+            self._health.record_refusal(vm, workload, now)
 
     def _execute_call(self, item, batch):
         """Execute an operator's call unless its caller has given up.
 
-        :param item: a ``batches.Called``
+        :param item: a ``batches.OperatorCall``
         """
         if not item.fut.set_running_or_notify_cancel():
             return
@@ -310,7 +318,9 @@
 
     def _update_members(self, batch):
         """Add or remove one member if the VM list has changed."""
-        event = self._members.take_change(self._env.clock.read_monotonic())
+        event = self._members.pop_member_change(
+            self._env.clock.read_monotonic()
+        )
         if event is not None:
             self._apply_event(batch, event)
             self._grants.set_members(self._state.members)
@@ -334,7 +344,7 @@
                 event = events.TaskRequeued(task.id, task.attempt)
                 decisionlog.log_lost_attempt(task, name)
                 self._apply_event(batch, event)
-                decision = planning.explain_loss(task, name, now_ms)
+                decision = pass_inputs.explain_loss(task, name, now_ms)
                 self._apply_event(batch, events.DecisionMade(decision))
                 self._stop_gang(event, batch)
 
@@ -358,17 +368,17 @@
                 continue
             for task in list(self._state.held[link.name].values()):
                 if task.state == data.TaskState.PLACED:
-                    reason = planning.REASON_LEAVING
+                    reason = pass_inputs.REASON_LEAVING
                     self._evict_task(task, reason, now_ms, batch)
 
     def _relieve_services(self, batch):
         """Relieve services that are likely to miss their targets."""
         now = self._env.clock.read_monotonic()
         weights = self._env.keeper.read().weights
-        self.pressure.remedies.set_weights(weights)
-        self.pressure.forget_ended()
-        self.pressure.note_running(now)
-        for action in self.pressure.find_actions(now):
+        self.service_protection.remedies.set_weights(weights)
+        self.service_protection.forget_ended()
+        self.service_protection.note_running(now)
+        for action in self.service_protection.find_actions(now):
             self._apply_action(action, batch)
 
     def _apply_action(self, action, batch):
@@ -378,7 +388,7 @@
         if not action.percent:
             self._evict_task(task, action.reason, now_ms, batch)
             return
-        decision = planning.explain_throttling(task, action, now_ms)
+        decision = pass_inputs.explain_throttling(task, action, now_ms)
         self._apply_event(batch, events.DecisionMade(decision))
         batch.send(
             self._members.get_link(task.vm),
@@ -391,7 +401,7 @@
         """Checkpoint and stop an attempt, so that it can run elsewhere."""
         self._apply_event(batch, events.TaskEvicting(task.id, task.attempt))
         decisionlog.log_eviction(task, reason)
-        decision = planning.explain_eviction(task, reason, now_ms)
+        decision = pass_inputs.explain_eviction(task, reason, now_ms)
         self._apply_event(batch, events.DecisionMade(decision))
         command = reconcile.make_stop(self._state, task, True)
         batch.send(self._members.get_link(task.vm), command)
@@ -402,9 +412,9 @@
         if not self._may_place(now):
             return
         views = self._members.view_vms()
-        self._crashloops.mark_unsteady(views)
+        self._crashloops.mark_unstable(views)
         self._resolve_prepared_tasks(batch, views, now)
-        if not self._members.knows_zones(now):
+        if not self._members.has_recent_zones(now):
             # While the closed zones are unknown, only prepared tasks start;
             # their sides refuse those in zones that they know are closed.
             return
@@ -413,13 +423,13 @@
         if self._advisor is not None:
             policy.assign_tickets(self._advisor, demands, views)
         now_ms = self._env.clock.read_unix_ms()
-        done = planning.plan(
+        done = pass_inputs.plan(
             self._state,
             demands,
             views,
             quotas,
             now_ms,
-            self.pressure.remedies.judge,
+            self.service_protection.remedies.judge,
         )
         self.waiting = {one.record.id: one for one in done.waiting}
         self._patience.note(self.waiting, now)
@@ -429,10 +439,10 @@
             event = events.TaskPlaced(placed.task, placed.attempt, placed.vm)
             self._apply_event(batch, event)
             self._apply_event(batch, events.DecisionMade(placed.decision))
-            self._health.note_placed(placed.vm, now)
+            self._health.record_placement(placed.vm, now)
             task = self._state.tasks[placed.task]
-            self._crashloops.note_placed(task)
-            self.pressure.note_begun((task.id, task.attempt), now)
+            self._crashloops.record_placement(task)
+            self.service_protection.note_begun((task.id, task.attempt), now)
             command = reconcile.make_start(
                 self._state, task, placed.ticket, self.runtimes
             )
@@ -447,25 +457,29 @@
         now_ms = self._env.clock.read_unix_ms()
         weigher = precedence.Weigher(self._state, now_ms, self.runtimes)
         links = self._members.list_links()
-        stuck = rehoming.find_stuck(
-            self._state, links, self.pressure.read_begun, now, weigher
+        stalled = task_moves.find_stalled_tasks(
+            self._state,
+            links,
+            self.service_protection.read_begun,
+            now,
+            weigher,
         )
-        for task in rehoming.choose_moves(stuck, views):
-            self._shunned.note(task.id, task.vm, now)
-            self._evict_task(task, rehoming.REASON_STUCK, now_ms, batch)
+        for task in task_moves.choose_moves(stalled, views):
+            self._move_history.record_move(task.id, task.vm, now)
+            self._evict_task(task, task_moves.REASON_STALLED, now_ms, batch)
 
     def _list_demands(self, now):
-        demands = planning.list_demands(
+        demands = pass_inputs.list_demands(
             self._state,
             lambda workload: self._health.list_avoided(workload, now),
             self._env.clock.read_unix_ms(),
             self.runtimes,
         )
-        shunned = self._shunned.find(now)
-        held = self._crashloops.list_held()
+        origins = self._move_history.list_recent_origins(now)
+        held = self._crashloops.list_held_back()
         for demand in demands:
-            demand.shunned = shunned
-            demand.held = held
+            demand.moved_from = origins
+            demand.held_tasks = held
         self._patience.apply(demands, now)
         return demands
 
@@ -474,8 +488,10 @@
         if not done.waiting or self._is_evicting():
             return
         now = self._env.clock.read_monotonic()
-        over = planning.find_over_quota(self._state, quotas)
-        for action in self.pressure.find_room(done.ordered, views, over, now):
+        over = pass_inputs.find_over_quota(self._state, quotas)
+        for action in self.service_protection.find_room(
+            done.ordered, views, over, now
+        ):
             self._apply_action(action, batch)
 
     def _is_evicting(self):
@@ -506,14 +522,14 @@
                 task = self._state.tasks[event.task]
                 command = reconcile.make_start(self._state, task)
                 link = self._members.get_link(event.vm)
-                batch.send_early(link, command)
+                batch.send_before_commit(link, command)
 
     def _prepare_tasks(self, done, batch):
         """Commit some starts in advance, for an outage of the store."""
         if not done.waiting:
             return
         views = self._members.view_vms()
-        for event in self.preparation.choose(done.ordered, views):
+        for event in self.preparation.prepare_tasks(done.ordered, views):
             self._apply_event(batch, event)
 
     def _update_roster(self, batch):
@@ -521,7 +537,7 @@
         now = self._env.clock.read_monotonic()
         if not self._may_place(now):
             return
-        event, has_changed = self.rosters.follow(
+        event, has_changed = self.rosters.update(
             self._members.view_vms(),
             self._env.clock.read_unix_ms(),
             lambda vm: self._grants.has_lapsed(vm, now),
@@ -529,7 +545,7 @@
         if event is not None:
             self._apply_event(batch, event)
         if has_changed:
-            batch.effects.append(
+            batch.after_commit.append(
                 lambda: self._members.announce(self.rosters.make_update())
             )
 
@@ -540,10 +556,10 @@
             return
         self._next_drop_time = now + _DROP_INTERVAL_SECONDS
         now_ms = self._env.clock.read_unix_ms()
-        for workload_id in planning.find_old(self._state, now_ms):
+        for workload_id in pass_inputs.find_old(self._state, now_ms):
             self._apply_event(batch, events.WorkloadDropped(workload_id))
             self._health.drop_workload(workload_id)
-        for job_id in planning.find_old_jobs(self._state, now_ms):
+        for job_id in pass_inputs.find_old_jobs(self._state, now_ms):
             self._apply_event(batch, events.JobDropped(job_id))
         self.runtimes.forget(self._state.unended)
 
--- a/packages/scheduler/portwharf/scheduler/decisionlog_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisionlog_test.py
@@ -4,8 +4,8 @@
 
 from portwharf.core import data
 from portwharf.scheduler import decisionlog
-from portwharf.scheduler.decisions import choosing
 from portwharf.scheduler.decisions import placement
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler import events
 
 LOGGER = 'portwharf.scheduler.decisionlog'
@@ -37,7 +37,7 @@
 
 def test_long_wait_is_logged_once(case):
     log = decisionlog.WaitLog()
-    choice = choosing.Choice()
+    choice = vm_choice.Choice()
     choice.refusals['processors'] = 3
     waits = {'a.0.0': placement.Waiting(None, 'no-room', choice)}
     with case.assertLogs(LOGGER) as watched:
--- a/packages/scheduler/portwharf/scheduler/decisions/__init__.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/__init__.py
@@ -4,5 +4,5 @@
 
 Nothing here depends on the log, the members or a socket, so that each policy
 can be tested against a simulated load. The modules are imported by their full
-names, as sides need only ``precedence`` and ``presses``.
+names, as sides need only ``precedence`` and ``tail_interference``.
 """
--- a/packages/scheduler/portwharf/scheduler/decisions/backlog.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/backlog.py
@@ -40,11 +40,11 @@
         '_placed',
         '_tasks',
         'avoided',
-        'choosy',
-        'held',
+        'is_selective',
+        'held_tasks',
         'rack',
         'record',
-        'shunned',
+        'moved_from',
         'step_forecast',
         'tickets',
         'weight',
@@ -66,13 +66,13 @@
         self.step_forecast = step_forecast or forecast.StepForecast()
         # Whether it waits for a VM that suits it, rather than accept any
         # with room.
-        self.choosy = True
+        self.is_selective = True
         # The rack that its tasks should share, '' for any.
         self.rack = ''
         # The VM that a task was moved away from, by task id.
-        self.shunned = {}
+        self.moved_from = {}
         # Ids of the tasks that must not be placed now.
-        self.held = frozenset()
+        self.held_tasks = frozenset()
         # Tickets from its queue's policy, by VM name.
         self.tickets = {}
         self._tasks = None
@@ -105,11 +105,11 @@
 
     @property
     def unit(self):
-        """Its job or workload, as ``suspects.name_unit`` returns it."""
-        return suspects.name_unit(self.record)
+        """Its job or workload, as ``suspects.get_failure_unit`` returns it."""
+        return suspects.get_failure_unit(self.record)
 
     @property
-    def suspected(self):
+    def crash_count(self):
         """Number of workers that crashed while running its next task."""
         crashes = self._count_crashes()
         if not crashes or not self.tasks:
@@ -124,17 +124,17 @@
         return bool(self._count_crashes())
 
     @property
-    def shunned_vm(self):
+    def moved_from_vm(self):
         """The VM that its next task was moved away from, or ''."""
-        if not self.shunned or not self.tasks:
+        if not self.moved_from or not self.tasks:
             return ''
-        return self.shunned.get(self.tasks[0], '')
+        return self.moved_from.get(self.tasks[0], '')
 
-    def take_any(self):
+    def accept_any_vm(self):
         """Accept any VM with room, as it has waited long enough."""
-        self.choosy = False
+        self.is_selective = False
         self.avoided = frozenset()
-        self.shunned = {}
+        self.moved_from = {}
 
     @property
     def is_starving(self):
@@ -143,7 +143,7 @@
         One of its tasks may then be placed where only memory is free, as a
         slow job is better than a stopped one.
         """
-        return not self.choosy and not self.placed
+        return not self.is_selective and not self.placed
 
     def _count_crashes(self):
         """Return the number of worker crashes by id of a waiting task."""
@@ -166,7 +166,7 @@
             for task in record.tasks
             if task.state == data.TaskState.WAITING
             and task.number < limit
-            and task.id not in self.held
+            and task.id not in self.held_tasks
         ]
         end = min(limit, record.begun + MAX_PLACEMENTS)
         rows = [(t.id, t.attempt + 1) for t in waiting if not t.crashes]
@@ -187,7 +187,7 @@
         record = self.record
         self._tasks = []
         self._attempts = []
-        if any(task.vm or task.id in self.held for task in record.tasks):
+        if any(task.vm or task.id in self.held_tasks for task in record.tasks):
             return
         count = record.workload.count
         self._tasks = [ids.make_task_id(record.id, n) for n in range(count)]
--- a/packages/scheduler/portwharf/scheduler/decisions/gangs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/gangs.py
@@ -11,24 +11,24 @@
 import collections
 
 from portwharf.core import data
-from portwharf.scheduler.decisions import choosing
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler import events
 
 
 def choose_vms(demand, views, judge):
     """Choose a VM for each task of a gang.
 
-    :returns: list of ``choosing.Choice``, whose views are copies; the last
+    :returns: list of ``vm_choice.Choice``, whose views are copies; the last
         one has no view if the gang does not fit
     """
     copies = [view.copy() for view in views]
     chosen = []
     for _ in demand.tasks:
-        choice = choosing.choose_vm(demand, copies, judge)
+        choice = vm_choice.choose_vm(demand, copies, judge)
         chosen.append(choice)
         if choice.view is None:
             break
-        choosing.count_placement(demand, choice.view)
+        vm_choice.count_placement(demand, choice.view)
     # Undo what count_placement added to the demand itself.
     for choice in chosen:
         if choice.view is not None:
--- a/packages/scheduler/portwharf/scheduler/decisions/gangs_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/gangs_test.py
@@ -5,8 +5,8 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import backlog
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler.decisions import placement
-from portwharf.scheduler.decisions import planning
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import events
 from portwharf.scheduler import faults_test
@@ -38,7 +38,7 @@
 
 def place(shard_state, views):
     """Run one pass and apply its placements."""
-    demands = planning.list_demands(
+    demands = pass_inputs.list_demands(
         shard_state, lambda _: frozenset(), jobs_test.NOW
     )
     quotas = backlog.Quotas({}, {})
@@ -51,9 +51,9 @@
 def report(shard_state, number, ended, attempt=1, checkpoint=''):
     """Report the end of a member's attempt and return the verdict."""
     task = shard_state.tasks[f'{STEP}.{number}']
-    verdict = reconcile.Verdict()
+    verdict = reconcile.ReportOutcome()
     told = messages.TaskReport(task.id, attempt, ended, checkpoint)
-    reconcile.judge_report(shard_state, task.vm or 'vm-0', told, verdict)
+    reconcile.process_report(shard_state, task.vm or 'vm-0', told, verdict)
     return verdict
 
 
--- a/packages/scheduler/portwharf/scheduler/decisions/health.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/health.py
@@ -64,7 +64,7 @@
     seconds: float = 0.0
 
 
-class Health:
+class WorkerHealthTracker:
     """Tracks failures and quarantines of a shard's workers.
 
     ``now`` is the owner's monotonic clock, in seconds.
@@ -74,7 +74,7 @@
         self._records = {}
         self._avoided = {}
 
-    def note_success(self, vm):
+    def record_success(self, vm):
         """Record a successful attempt, which clears the worker."""
         self._records.pop(vm, None)
 
@@ -87,7 +87,7 @@
         """Drop what is known of a workload that has ended."""
         self._avoided.pop(workload, None)
 
-    def note_failure(self, vm, workload, now, job=''):
+    def record_failure(self, vm, workload, now, job=''):
         """Record a failed attempt.
 
         :param job: the job that the workload is a step of, or ''
@@ -106,14 +106,14 @@
             return self._quarantine(record, now)
         return False
 
-    def note_placed(self, vm, now):
+    def record_placement(self, vm, now):
         """Record that a task was placed on a worker."""
-        if self.is_probed(vm, now):
+        if self.awaits_probe(vm, now):
             self._records[vm].probed = now
 
     def is_probing(self, vm, now):
         """Return whether a probe of a worker is under way."""
-        if not self.is_probed(vm, now):
+        if not self.awaits_probe(vm, now):
             return False
         return now - self._records[vm].probed < PROBE_TIMEOUT_SECONDS
 
@@ -122,12 +122,12 @@
         record = self._records.get(vm)
         return record is not None and now < record.until
 
-    def is_probed(self, vm, now):
+    def awaits_probe(self, vm, now):
         """Return whether a worker is past its quarantine but not cleared."""
         record = self._records.get(vm)
         return record is not None and 0 < record.until <= now
 
-    def note_refusal(self, vm, workload, now):
+    def record_refusal(self, vm, workload, now):
         """Record that a side refused to start an attempt, for a good reason.
 
         The workload avoids the worker; this is no failure of the worker.
--- a/packages/scheduler/portwharf/scheduler/decisions/health_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/health_test.py
@@ -9,56 +9,56 @@
 
 def record_failures(tracker, workloads, now=0.0):
     """Record failures of workloads and return the last result."""
-    outcomes = [tracker.note_failure(VM, name, now) for name in workloads]
+    outcomes = [tracker.record_failure(VM, name, now) for name in workloads]
     return outcomes[-1]
 
 
 def test_one_bad_job_does_not_quarantine_a_worker(case):
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     case.assertFalse(record_failures(tracker, ['a'] * 50))
     case.assertFalse(tracker.is_quarantined(VM, 0.0))
 
 
 def test_worker_that_fails_several_workloads_is_quarantined(case):
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     case.assertTrue(record_failures(tracker, ['a', 'a', 'b', 'b']))
     case.assertTrue(tracker.is_quarantined(VM, 1.0))
     case.assertFalse(tracker.is_quarantined('vm-2', 1.0))
 
 
 def test_failures_of_one_job_count_at_most_twice(case):
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     for step in ('a.0', 'a.1', 'a.2'):
-        case.assertFalse(tracker.note_failure(VM, step, 0.0, 'a'))
-    case.assertFalse(tracker.note_failure(VM, 'b.0', 0.0, 'b'))
-    case.assertTrue(tracker.note_failure(VM, 'b.0', 0.0, 'b'))
+        case.assertFalse(tracker.record_failure(VM, step, 0.0, 'a'))
+    case.assertFalse(tracker.record_failure(VM, 'b.0', 0.0, 'b'))
+    case.assertTrue(tracker.record_failure(VM, 'b.0', 0.0, 'b'))
 
 
 def test_probe_without_result_is_followed_by_another(case):
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     record_failures(tracker, ['a', 'a', 'b', 'b'])
     end = health.MIN_QUARANTINE_SECONDS
     case.assertFalse(tracker.is_probing(VM, end))
-    tracker.note_placed(VM, end)
+    tracker.record_placement(VM, end)
     case.assertTrue(tracker.is_probing(VM, end + 1))
     later = end + health.PROBE_TIMEOUT_SECONDS
     case.assertFalse(tracker.is_probing(VM, later))
-    case.assertTrue(tracker.is_probed(VM, later))
+    case.assertTrue(tracker.awaits_probe(VM, later))
 
 
 def test_success_resets_failures(case):
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     record_failures(tracker, ['a', 'b', 'c'])
-    tracker.note_success(VM)
+    tracker.record_success(VM)
     case.assertFalse(record_failures(tracker, ['a', 'b', 'c']))
 
 
 def test_failed_probe_doubles_the_quarantine(case):
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     record_failures(tracker, ['a', 'a', 'b', 'b'])
     end = health.MIN_QUARANTINE_SECONDS
     case.assertFalse(tracker.is_quarantined(VM, end))
-    case.assertTrue(tracker.is_probed(VM, end))
+    case.assertTrue(tracker.awaits_probe(VM, end))
     case.assertTrue(record_failures(tracker, ['c'], end))
     later = end + 2 * health.MIN_QUARANTINE_SECONDS
     case.assertTrue(tracker.is_quarantined(VM, later - 0.1))
@@ -66,22 +66,22 @@
 
 
 def test_successful_probe_ends_the_quarantine(case):
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     record_failures(tracker, ['a', 'a', 'b', 'b'])
-    tracker.note_success(VM)
+    tracker.record_success(VM)
     case.assertFalse(tracker.is_quarantined(VM, 0.0))
-    case.assertFalse(tracker.is_probed(VM, 100.0))
+    case.assertFalse(tracker.awaits_probe(VM, 100.0))
 
 
 def test_workload_avoids_a_worker_that_refused_it(case):
-    tracker = health.Health()
-    tracker.note_refusal(VM, 'a', 0.0)
+    tracker = health.WorkerHealthTracker()
+    tracker.record_refusal(VM, 'a', 0.0)
     case.assertEqual(tracker.list_avoided('a', 1.0), {VM})
     case.assertEqual(tracker.list_avoided('b', 1.0), set())
     case.assertEqual(
         tracker.list_avoided('a', health.MIN_AVOID_SECONDS), set()
     )
-    tracker.note_refusal(VM, 'a', 10.0)
+    tracker.record_refusal(VM, 'a', 10.0)
     case.assertEqual(tracker.list_avoided('a', 13.9), {VM})
 
 
@@ -91,9 +91,9 @@
     Six tasks refused at once kept a workload away for over a minute, longer
     than a standing task may wait while there is room for it.
     """
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     for _ in range(6):
-        tracker.note_refusal(VM, 'a', 0.0)
+        tracker.record_refusal(VM, 'a', 0.0)
     case.assertEqual(
         tracker.list_avoided('a', health.MIN_AVOID_SECONDS), set()
     )
@@ -101,11 +101,11 @@
 
 def test_old_failures_do_not_lengthen_avoidance(case):
     """A standing workload may fail now and then for as long as it runs."""
-    tracker = health.Health()
+    tracker = health.WorkerHealthTracker()
     now = 0.0
     for _ in range(9):
-        tracker.note_failure(VM, 'a', now)
+        tracker.record_failure(VM, 'a', now)
         now += 2 * health.MAX_AVOID_SECONDS
-    tracker.note_failure(VM, 'a', now)
+    tracker.record_failure(VM, 'a', now)
     later = now + health.MIN_AVOID_SECONDS
     case.assertEqual(tracker.list_avoided('a', later), set())
--- a/packages/scheduler/portwharf/scheduler/decisions/planning.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
@@ -52,7 +52,7 @@
             ):
                 continue
             if not demand.placed or waited > REST_PATIENCE_SECONDS:
-                demand.take_any()
+                demand.accept_any_vm()
 
 
 def plan(state, demands, views, quotas, now_ms, judge=None):
--- a/packages/scheduler/portwharf/scheduler/decisions/placement.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement.py
@@ -3,20 +3,20 @@
 """Places waiting tasks on VMs, in one pass over the waiting workloads.
 
 A pass takes the workloads in the order of ``backlog`` and gives each task the
-VM that ``choosing`` picks. Tasks of one workload are alike, so that the first
+VM that ``vm_choice`` picks. Tasks of one workload are alike, so that the first
 one that fits nowhere ends the workload's turn. Every placement carries the
 decision that ``explain`` shows.
 
-Moving tasks that are already placed is the business of ``rehoming`` and
-``pressure``.
+Moving tasks that are already placed is the business of ``task_moves`` and
+``service_protection``.
 """
 
 import dataclasses
 
 from portwharf.core import data
 from portwharf.scheduler.decisions import backlog
-from portwharf.scheduler.decisions import choosing
 from portwharf.scheduler.decisions import gangs
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler import events
 
 REASON_PLACED = 'placed'
@@ -29,7 +29,7 @@
     """Why a workload waits; :func:`explain_wait` makes a decision of it.
 
     :param record: its ``state.WorkloadRecord``
-    :param choice: the ``choosing.Choice`` that found no VM, or None
+    :param choice: the ``vm_choice.Choice`` that found no VM, or None
     """
 
     record: object = None
@@ -60,8 +60,8 @@
     :param waiting: a :class:`Waiting` for each demand that was not placed
         in full
     :param judge: as for :func:`place_demands`
-    :param hopeless: the failed ``choosing.Choice`` by shape of task. Room only
-        shrinks during a pass, so that a second task of the shape is not
+    :param hopeless: the failed ``vm_choice.Choice`` by shape of task. Room
+        only shrinks during a pass, so that a second task of the shape is not
         tried; this keeps a pass over thousands of waiting jobs short.
     """
 
@@ -151,7 +151,7 @@
         if not quotas.has_room(workload.team, workload.resources):
             result.waiting.append(Waiting(demand.record, REASON_QUOTA))
             return False
-        choice = choosing.choose_vm(demand, views, result.judge)
+        choice = vm_choice.choose_vm(demand, views, result.judge)
         if choice.view is None:
             shape = _get_shape(demand)
             if shape is not None:
@@ -160,7 +160,7 @@
             result.waiting.append(waiting)
             return True
         quotas.reserve(workload.team, workload.resources)
-        choosing.count_placement(demand, choice.view)
+        vm_choice.count_placement(demand, choice.view)
         _record_placement(demand, choice, now_ms, result)
     return True
 
@@ -186,7 +186,7 @@
     quotas.reserve(workload.team, size)
     by_name = {view.vm.name: view for view in views}
     for choice in choices:
-        choosing.count_placement(demand, by_name[choice.view.vm.name])
+        vm_choice.count_placement(demand, by_name[choice.view.vm.name])
         _record_placement(demand, choice, now_ms, result)
     return True
 
@@ -214,7 +214,11 @@
     :returns: None if the task's fit depends on more than such a key
     """
     workload = demand.record.workload
-    if workload.kind != data.Kind.BATCH or demand.avoided or demand.shunned_vm:
+    if (
+        workload.kind != data.Kind.BATCH
+        or demand.avoided
+        or demand.moved_from_vm
+    ):
         return None
     if workload.most_per_vm or workload.gang or workload.ticket_ms:
         return None
@@ -230,7 +234,7 @@
         workload.fills,
         workload.pool,
         workload.label,
-        demand.choosy,
+        demand.is_selective,
     )
 
 
--- a/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
@@ -7,8 +7,8 @@
 
 from portwharf.core import data
 from portwharf.scheduler.decisions import backlog
-from portwharf.scheduler.decisions import choosing
 from portwharf.scheduler.decisions import placement
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import state
 from portwharf.testing import fixtures
@@ -59,7 +59,7 @@
     decision = placement.explain_wait(waiting, NOW_MS)
     counts = {one.name: one.number for one in decision.refusals}
     case.assertEqual(counts, {'processors': 2, 'memory': 1, 'leaving': 1})
-    case.assertEqual(decision.reason, choosing.REASON_NO_ROOM)
+    case.assertEqual(decision.reason, vm_choice.REASON_NO_ROOM)
 
 
 def test_order_is_urgent_then_services_then_importance(case):
@@ -153,7 +153,7 @@
     case.assertEqual(vms.count('vm-01'), 1)
     decision = placement.explain_wait(result.waiting[0], NOW_MS)
     refusals = {one.name for one in decision.refusals}
-    case.assertIn(choosing.REFUSED_SLOWS_SERVICE, refusals)
+    case.assertIn(vm_choice.REFUSED_SLOWS_SERVICE, refusals)
 
 
 def test_waiting_adds_importance_up_to_a_limit(case):
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies.py
@@ -138,7 +138,7 @@
         self.model = model
         self.headroom = HEADROOM_FACTOR
         self.late_before_eviction = LATE_BEFORE_EVICTION
-        self.brake = EvictionBudget()
+        self.eviction_budget = EvictionBudget()
         # Late measurements since the last good one, by VM and service.
         self._late = collections.Counter()
         # Time before which a VM gets no further action.
@@ -217,7 +217,7 @@
         if not victim.throttled:
             reason = 'throttled-beside-a-service'
             return Action(victim.task, vm, reason, THROTTLE_PERCENT)
-        if not self.brake.take(now):
+        if not self.eviction_budget.take(now):
             return None
         return Action(victim.task, vm, 'slows-a-service')
 
--- a/packages/scheduler/portwharf/scheduler/decisions/pressure.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/service_protection.py
@@ -27,7 +27,7 @@
 _MS_PER_SECOND = 1000
 
 
-class Pressure:
+class ServiceProtection:
     """Tracks services and batch work on the VMs of one shard.
 
     ``now`` is the owner's monotonic clock, in seconds.
@@ -243,7 +243,7 @@
                 )
         if not cheapest:
             return []
-        if not workload.urgent and not self.remedies.brake.take(now):
+        if not workload.urgent and not self.remedies.eviction_budget.take(now):
             return []
         return [
             remedies.Action(neighbour.task, vm, REASON_ROOM)
--- a/packages/scheduler/portwharf/scheduler/decisions/pressure_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/service_protection_test.py
@@ -80,7 +80,7 @@
 def test_room_lent_beyond_a_quota_is_reclaimed(case):
     sim = cluster.Cluster(3)
     text = '[teams.lens]\nquota = {cpu_milli = 2000, memory_mb = 90000}\n'
-    sim.nodes[0].keeper.offer(5, text)
+    sim.nodes[0].keeper.update(5, text)
     lent = fill_with_batch_work(sim)
     case.assertEqual(len(list_running(sim, lent)), 6)
     other = sim.submit(1, team='desk')
@@ -93,7 +93,7 @@
     sim = cluster.Cluster(3)
     node = sim.nodes[0]
     text = '[services."lens/fit"]\ntarget_ms = 100\ntarget_ratio = 0.99\n'
-    node.keeper.offer(5, text)
+    node.keeper.update(5, text)
     fill_with_batch_work(sim)
     throttled = []
     for one in sim.nodes:
@@ -113,7 +113,7 @@
     """Have a late service's neighbour throttled and return its attempt."""
     text = '[services."lens/fit"]\ntarget_ms = 100\ntarget_ratio = 0.99\n'
     for node in sim.nodes:
-        node.keeper.offer(5, text)
+        node.keeper.update(5, text)
     fill_with_batch_work(sim)
     report_measurements(sim, sim.nodes[0], 90_000, 8)
     (name,) = list_throttled(sim)
--- a/packages/scheduler/portwharf/scheduler/decisions/presses.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/tail_interference.py
@@ -1,13 +1,13 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""Learns how much each filling image slows each serving image on its VM.
+"""Estimates how much each filling image slows each serving image on its VM.
 
-The logarithm of a serving task's tail latency grows by ``press`` times the
-share of the VM's processors that the filling image's tasks use: a press is
-the coefficient of one pair of images. The model is fitted to the differences
-between two measurements half a second apart: they show the effect of filling
-tasks that started, ended or changed pace between the two, while the slower
-variation of the serving task's own load hardly shows.
+A "press" is the coefficient of this model for one pair of images: the
+logarithm of a serving task's tail latency grows by the press times the share
+of the VM's processors that the filling image's tasks use. The model is fitted
+to the differences between two measurements half a second apart: they show the
+effect of filling tasks that started, ended or changed pace between the two,
+while the slower variation of the serving task's own load hardly shows.
 
 Sides send their observations to the owner, which learns from all of them and
 sends the presses back to all sides, as images behave alike everywhere and a
@@ -26,7 +26,7 @@
 MAX_PRESS = 40.0
 # Headroom of a serving image until its tail has been measured, as growth of
 # the logarithm of its tail.
-FRESH_ROOM = 0.4
+DEFAULT_HEADROOM = 0.4
 # Standard deviation of an observed growth: load varies between measurements,
 # and tails are reported in whole milliseconds.
 _NOISE_DEVIATION = 0.15
@@ -97,26 +97,26 @@
                 self._covariance[i][i] += _DRIFT_VARIANCE
 
 
-class Presses:
+class TailInterferenceModel:
     """The presses of all known pairs of a serving and a filling image."""
 
     def __init__(self):
         self._filters = {}
         self._estimates = {}
 
-    def find(self, serving, filling):
+    def get_press(self, serving, filling):
         """Return the estimated press of a pair."""
         known = self._estimates.get((serving, filling))
         return known.press if known is not None else PRIOR_PRESS
 
-    def find_upper(self, serving, filling):
+    def get_upper_bound(self, serving, filling):
         """Return the press of a pair plus its deviation, for placement."""
         known = self._estimates.get((serving, filling))
         if known is None:
             return PRIOR_PRESS + PRIOR_DEVIATION
         return known.press + known.deviation
 
-    def find_cautious(self, serving, filling):
+    def get_pacing_press(self, serving, filling):
         """Return the cautious press of a pair, for pacing.
 
         It allows for growth since the last measurement, and for uncertainty.
@@ -146,7 +146,7 @@
                 name, image, model.presses[number], model.get_deviation(number)
             )
 
-    def adopt(self, estimates):
+    def add_unknown(self, estimates):
         """Start from a former owner's presses, as a side received them.
 
         Pairs that are known already keep their own estimates.
@@ -161,7 +161,7 @@
             model.add(known.filling, known.press, known.deviation)
             self._estimates[name] = known
 
-    def take_told(self, estimates):
+    def replace_estimates(self, estimates):
         """Replace estimates by those that the owner has sent.
 
         :param estimates: list of ``messages.Press``
--- a/packages/scheduler/portwharf/scheduler/decisions/rehoming.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/task_moves.py
@@ -4,10 +4,10 @@
 
 A filling task (``Workload.fills``) that slows the serving tasks beside it is
 slowed down itself, to almost no progress, while it holds memory and its job
-waits for it. Such a task is called stuck. Once it would end sooner on another
-VM, the cost of the move included, it is checkpointed, stopped and placed like
-any other, except on the VM that it came from. A task without checkpoints
-starts again from the beginning.
+waits for it. Such a task is called stalled. Once it would end sooner on
+another VM, the cost of the move included, it is checkpointed, stopped and
+placed like any other, except on the VM that it came from. A task without
+checkpoints starts again from the beginning.
 """
 
 import dataclasses
@@ -15,12 +15,12 @@
 from portwharf.core import data
 from portwharf.scheduler.decisions import precedence
 
-REASON_STUCK = 'hardly-works-there'
-# A task at this pace or less, in percent, is stuck.
-MAX_STUCK_PERCENT = 30
+REASON_STALLED = 'hardly-works-there'
+# A task at this pace or less, in percent, is stalled.
+MAX_STALLED_PERCENT = 30
 # Least time since the attempt was placed: its pace settles first, and a short
 # peak of the load may pass.
-LEAST_SECONDS = 1.2
+MIN_RUNNING_SECONDS = 1.2
 # Least pace, 0 to 1, that a move must give.
 MIN_DESTINATION_PACE = 0.8
 # Duration of a move: the stop, the log entry, and the start from a checkpoint.
@@ -31,13 +31,13 @@
 # Run time of a task without an estimate.
 DEFAULT_RUN_MS = 4500
 # How long a moved task is not placed on the VM that it came from.
-SHUN_SECONDS = 10.0
+AVOID_ORIGIN_SECONDS = 10.0
 # Bounded, so that the effect of the moves is seen before the next pass.
 MAX_MOVES_PER_PASS = 4
 
 
 @dataclasses.dataclass(slots=True)
-class Stuck:
+class StalledTask:
     """A task that makes little progress, and its workload.
 
     :param percent: the pace that its side allows it, in percent
@@ -72,17 +72,17 @@
         return MOVE_COST_MS + left * self.run_ms
 
 
-class Shunned:
+class MoveHistory:
     """Tracks the VMs that moved tasks must not return to yet."""
 
     def __init__(self):
         self._moved = {}
 
-    def note(self, task, vm, now):
+    def record_move(self, task, vm, now):
         """Record that a task is moved away from a VM."""
-        self._moved[task] = (vm, now + SHUN_SECONDS)
+        self._moved[task] = (vm, now + AVOID_ORIGIN_SECONDS)
 
-    def find(self, now):
+    def list_recent_origins(self, now):
         """Return the VMs that tasks must not return to yet, by task id."""
         self._moved = {
             task: move for task, move in self._moved.items() if now < move[1]
@@ -90,13 +90,13 @@
         return {task: vm for task, (vm, _) in self._moved.items()}
 
 
-def find_stuck(state, links, read_begun, now, weigher=None):
-    """Return the stuck filling tasks, the slowest first.
+def find_stalled_tasks(state, links, read_begun, now, weigher=None):
+    """Return the stalled filling tasks, the slowest first.
 
     :param links: list of ``members.MemberLink``
     :param read_begun: function from (task id, attempt) to when it was placed
     :param weigher: a ``precedence.Weigher``; without one all tasks rank last
-    :returns: list of :class:`Stuck`
+    :returns: list of :class:`StalledTask`
     """
     found = []
     for link in links:
@@ -109,8 +109,8 @@
                 continue
             running_seconds = now - read_begun((task.id, task.attempt))
             if (
-                paced.percent > MAX_STUCK_PERCENT
-                or running_seconds < LEAST_SECONDS
+                paced.percent > MAX_STALLED_PERCENT
+                or running_seconds < MIN_RUNNING_SECONDS
             ):
                 continue
             record = state.find_workload(task.id)
@@ -121,21 +121,23 @@
                 weigher.weigh(record) if weigher else precedence.LAST_WEIGHT
             )
             found.append(
-                Stuck(task, record.workload, paced.percent, paced.done, weight)
+                StalledTask(
+                    task, record.workload, paced.percent, paced.done, weight
+                )
             )
     found.sort(key=lambda task: task.percent)
     return found
 
 
-def choose_moves(stuck, views):
-    """Return the stuck tasks to move, as ``state`` tasks.
+def choose_moves(stalled, views):
+    """Return the stalled tasks to move, as ``state`` tasks.
 
-    :param stuck: list of :class:`Stuck`
+    :param stalled: list of :class:`StalledTask`
     :param views: list of ``vmview.VmView`` after a pass; the chosen tasks are
         added to them
     """
     chosen = []
-    for entry in stuck:
+    for entry in stalled:
         if len(chosen) >= MAX_MOVES_PER_PASS:
             break
         destination = _find_destination(entry, views)
@@ -146,7 +148,7 @@
 
 
 def _find_destination(entry, views):
-    """Return the view that gives a stuck task the best pace, or None."""
+    """Return the view that gives a stalled task the best pace, or None."""
     workload = entry.workload
     best, best_pace = None, 0.0
     for view in views:
@@ -170,7 +172,7 @@
 
 
 def _is_worthwhile(entry, pace):
-    """Return whether a move makes a stuck task end sufficiently sooner."""
+    """Return whether a move makes a stalled task end sufficiently sooner."""
     return (
         entry.estimate_elsewhere_ms(pace)
         < MAX_TIME_SHARE * entry.remaining_here_ms
--- a/packages/scheduler/portwharf/scheduler/decisions/rehoming_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/task_moves_test.py
@@ -1,14 +1,14 @@
 # Copyright the portwharf authors.
 # SPDX-License-Identifier: Apache-2.0
-"""A stuck task moves if it ends sooner elsewhere, and only then."""
+"""A stalled task moves if it ends sooner elsewhere, and only then."""
 
 import dataclasses
 
 from portwharf.core import data
 from portwharf.peers import messages
-from portwharf.scheduler.decisions import planning
-from portwharf.scheduler.decisions import presses
-from portwharf.scheduler.decisions import rehoming
+from portwharf.scheduler.decisions import pass_inputs
+from portwharf.scheduler.decisions import tail_interference
+from portwharf.scheduler.decisions import task_moves
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import events
 from portwharf.scheduler import state
@@ -43,42 +43,46 @@
     return shard_state
 
 
-def find_stuck(percent, began=0.0, now=10.0, done=0, **fields):
-    """Return the stuck tasks when the task runs at a percentage."""
+def find_stalled_tasks(percent, began=0.0, now=10.0, done=0, **fields):
+    """Return the stalled tasks when the task runs at a percentage."""
     link = Link('vm-1', View([messages.PacedTask(TASK, 1, percent, done)]))
     shard_state = make_state(**fields)
-    return rehoming.find_stuck(shard_state, [link], lambda _: began, now)
+    return task_moves.find_stalled_tasks(
+        shard_state, [link], lambda _: began, now
+    )
 
 
 def make_view(name='vm-2', **fields):
     """Return the view of an empty VM."""
     view = vmview.VmView(data.Vm(name), data.Resources(16000, 64000))
-    view.pairs = presses.Presses()
+    view.pairs = tail_interference.TailInterferenceModel()
     for field, value in fields.items():
         setattr(view, field, value)
     return view
 
 
 def test_member_of_a_gang_is_not_moved(case):
-    case.assertEqual(find_stuck(3, gang=True), [])
+    case.assertEqual(find_stalled_tasks(3, gang=True), [])
 
 
 def test_stuck_task_moves_to_a_vm_without_serving_tasks(case):
-    moved = rehoming.choose_moves(find_stuck(3), [make_view()])
+    moved = task_moves.choose_moves(find_stalled_tasks(3), [make_view()])
     case.assertEqual([task.id for task in moved], [TASK])
 
 
 def test_task_with_a_good_pace_stays(case):
-    case.assertEqual(find_stuck(60), [])
+    case.assertEqual(find_stalled_tasks(60), [])
 
 
 def test_task_that_has_just_begun_stays(case):
-    case.assertEqual(find_stuck(3, began=9.5), [])
+    case.assertEqual(find_stalled_tasks(3, began=9.5), [])
 
 
 def test_nothing_moves_where_it_would_work_no_better(case):
     view = make_view(headrooms={'desk': 0.1})
-    case.assertEqual(rehoming.choose_moves(find_stuck(3), [view]), [])
+    case.assertEqual(
+        task_moves.choose_moves(find_stalled_tasks(3), [view]), []
+    )
 
 
 def test_no_task_moves_to_a_full_closed_or_unsuitable_vm(case):
@@ -88,7 +92,7 @@
         make_view('vm-1'),
         make_view(capacity=data.Resources(16000, 500)),
     ]
-    case.assertEqual(rehoming.choose_moves(find_stuck(3), views), [])
+    case.assertEqual(task_moves.choose_moves(find_stalled_tasks(3), views), [])
 
 
 def test_no_task_moves_beside_a_serving_task_of_unknown_headroom(case):
@@ -99,34 +103,36 @@
     """
     view = make_view()
     view.count_fill(data.Workload(resources=SIZE, image='desk', target_ms=20))
-    case.assertEqual(rehoming.choose_moves(find_stuck(3), [view]), [])
+    case.assertEqual(
+        task_moves.choose_moves(find_stalled_tasks(3), [view]), []
+    )
 
 
 def test_task_without_checkpoints_stays_where_it_ends_sooner(case):
     """At 90% done and a pace of 30%, it needs a third of a run here."""
     views = [make_view()]
-    kept = find_stuck(30, done=90, run_ms=5000, checkpointable=True)
-    case.assertEqual(rehoming.choose_moves(kept, views), [])
-    lost = find_stuck(15, done=90, run_ms=5000)
-    case.assertEqual(rehoming.choose_moves(lost, views), [])
-    saved = find_stuck(3, done=50, run_ms=5000, checkpointable=True)
-    case.assertEqual(len(rehoming.choose_moves(saved, views)), 1)
+    kept = find_stalled_tasks(30, done=90, run_ms=5000, checkpointable=True)
+    case.assertEqual(task_moves.choose_moves(kept, views), [])
+    lost = find_stalled_tasks(15, done=90, run_ms=5000)
+    case.assertEqual(task_moves.choose_moves(lost, views), [])
+    saved = find_stalled_tasks(3, done=50, run_ms=5000, checkpointable=True)
+    case.assertEqual(len(task_moves.choose_moves(saved, views)), 1)
 
 
 def test_moved_task_does_not_return_at_once(case):
     """The VM that it came from looks best, as its share there is free."""
-    shunned = rehoming.Shunned()
-    shunned.note(TASK, 'vm-1', 0.0)
+    history = task_moves.MoveHistory()
+    history.record_move(TASK, 'vm-1', 0.0)
     shard_state = make_state(job=ID)
     shard_state.apply(events.TaskRequeued(TASK, 1))
     views = [make_view('vm-1'), make_view('vm-2', filling_milli=8000)]
     places = []
-    for now in (1.0, 1.0 + rehoming.SHUN_SECONDS):
-        (demand,) = planning.list_demands(
+    for now in (1.0, 1.0 + task_moves.AVOID_ORIGIN_SECONDS):
+        (demand,) = pass_inputs.list_demands(
             shard_state, lambda _: frozenset(), 1
         )
-        demand.shunned = shunned.find(now)
-        done = planning.plan(shard_state, [demand], views, {}, 1)
+        demand.moved_from = history.list_recent_origins(now)
+        done = pass_inputs.plan(shard_state, [demand], views, {}, 1)
         places += [placed.vm for placed in done.placements]
         views = [make_view('vm-1'), make_view('vm-2', filling_milli=8000)]
     case.assertEqual(places, ['vm-2', 'vm-1'])
@@ -135,12 +141,12 @@
 def test_moved_task_returns_if_no_other_vm_has_room(case):
     shard_state = make_state()
     shard_state.apply(events.TaskRequeued(TASK, 1))
-    (demand,) = planning.list_demands(shard_state, lambda _: frozenset(), 1)
-    demand.shunned = {TASK: 'vm-1'}
-    done = planning.plan(shard_state, [demand], [make_view('vm-1')], {}, 1)
+    (demand,) = pass_inputs.list_demands(shard_state, lambda _: frozenset(), 1)
+    demand.moved_from = {TASK: 'vm-1'}
+    done = pass_inputs.plan(shard_state, [demand], [make_view('vm-1')], {}, 1)
     case.assertEqual(done.placements, [])
-    demand.take_any()
-    done = planning.plan(shard_state, [demand], [make_view('vm-1')], {}, 1)
+    demand.accept_any_vm()
+    done = pass_inputs.plan(shard_state, [demand], [make_view('vm-1')], {}, 1)
     case.assertEqual(len(done.placements), 1)
 
 
@@ -150,10 +156,10 @@
     shard_state.apply(events.TaskRequeued(TASK, 1))
     job = data.Job(ID[::-1], steps=[step])
     shard_state.apply(events.JobAccepted(1, job))
-    demands = planning.list_demands(shard_state, lambda _: frozenset(), 1)
+    demands = pass_inputs.list_demands(shard_state, lambda _: frozenset(), 1)
     for demand in demands:
-        demand.shunned = {TASK: 'vm-1'}
-    done = planning.plan(shard_state, demands, [make_view('vm-1')], {}, 1)
+        demand.moved_from = {TASK: 'vm-1'}
+    done = pass_inputs.plan(shard_state, demands, [make_view('vm-1')], {}, 1)
     case.assertEqual(len(done.placements), 2)
 
 
--- a/packages/scheduler/portwharf/scheduler/decisions/choosing.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vm_choice.py
@@ -68,8 +68,8 @@
     lowest = float('inf')
     spread = scoring.count_spread(demand, views)
     size = demand.record.workload.reserved
-    shunned_vm = demand.shunned_vm
-    crash_count = demand.suspected
+    moved_from_vm = demand.moved_from_vm
+    crash_count = demand.crash_count
     is_service = demand.record.workload.kind == data.Kind.SERVICE
     for view in views:
         reason = _refuse(size, view) or _refuse_step(demand, view)
@@ -78,7 +78,7 @@
             reason = 'replica-there-already'
         elif not reason and view.vm.name in demand.avoided:
             reason = 'failed-there-lately'
-        elif not reason and view.vm.name == shunned_vm:
+        elif not reason and view.vm.name == moved_from_vm:
             reason = 'was-moved-away-from-there'
         elif not reason and _is_crash_risk(demand, crash_count, view):
             reason = REFUSED_SUSPECT
@@ -108,8 +108,8 @@
     workload = demand.record.workload
     if workload.kind == data.Kind.BATCH:
         view.kinds[backlog.get_interference_kind(workload)] += 1
-    if demand.suspected:
-        view.note_suspect(demand.unit, demand.suspected)
+    if demand.crash_count:
+        view.note_suspect(demand.unit, demand.crash_count)
     view.add_task(workload, demand.weight)
     if view.probe:
         view.closed = REFUSED_QUARANTINED
@@ -120,20 +120,20 @@
     """Return whether a crash there would be ambiguous or costly.
 
     Crash suspects are placed on different VMs, as a crash under two of them
-    would not tell which one caused it. Only while the demand is choosy, a task
-    with a single crash and a serving task are kept away from suspects, and a
-    suspect from workers that crashed lately.
+    would not tell which one caused it. Only while the demand is selective, a
+    task with a single crash and a serving task are kept away from suspects,
+    and a suspect from workers that crashed lately.
 
     :param crash_count: number of workers that crashed under the task
     """
     others = [n for unit, n in view.suspects.items() if unit != demand.unit]
-    is_suspect = crash_count >= suspects.SUSPICIOUS
+    is_suspect = crash_count >= suspects.SUSPECT_CRASHES
     if not others:
-        return is_suspect and view.unsteady and demand.choosy
-    if crash_count and max(crash_count, *others) >= suspects.SUSPICIOUS:
+        return is_suspect and view.unsteady and demand.is_selective
+    if crash_count and max(crash_count, *others) >= suspects.SUSPECT_CRASHES:
         return True
     is_serving = demand.record.workload.target_ms > 0
-    return demand.choosy and (crash_count > 0 or is_serving)
+    return demand.is_selective and (crash_count > 0 or is_serving)
 
 
 def _refuse(size, view):
@@ -165,7 +165,7 @@
         if workload.resources.cpu_milli > idle_milli:
             return 'processors'
         if (
-            demand.choosy
+            demand.is_selective
             and view.predict_pace(workload, demand.weight) < _MIN_PACE
         ):
             return REFUSED_SLOWS_SERVICE
--- a/packages/scheduler/portwharf/scheduler/decisions/vmview.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vmview.py
@@ -7,7 +7,7 @@
 
 from portwharf.core import data
 from portwharf.scheduler.decisions import precedence
-from portwharf.scheduler.decisions import presses
+from portwharf.scheduler.decisions import tail_interference
 
 # Share of its reserved processors that a serving task uses at its peak; the
 # others are left to filling tasks.
@@ -44,12 +44,12 @@
     :param filling_milli: processors requested by filling tasks, in thousandths
     :param serving_milli: processors reserved by serving tasks, in thousandths
     :param reported: its side has reported all that it runs to this owner
-    :param pairs: a ``presses.Presses``, or None
+    :param pairs: a ``tail_interference.TailInterferenceModel``, or None
     :param headrooms: by serving image, by how much the logarithm of its tail
         may still grow
     :param fillings: list of :class:`FillingTask`
     :param rack: the rack that it is in, or ''
-    :param life: the ``data.LifeId`` of its worker
+    :param life: the ``data.IncarnationId`` of its worker
     :param suspects: number of worker crashes of uncleared tasks on it, by job
         or workload
     :param unsteady: its worker has crashed lately
@@ -78,7 +78,7 @@
     headrooms: dict = dataclasses.field(default_factory=dict)
     fillings: list = dataclasses.field(default_factory=list)
     rack: str = ''
-    life: data.LifeId = data.LifeId()
+    life: data.IncarnationId = data.IncarnationId()
     suspects: dict = dataclasses.field(default_factory=dict)
     unsteady: bool = False
     largest: data.Resources = dataclasses.field(default_factory=data.Resources)
@@ -117,7 +117,9 @@
             self.serving_milli += size
             # Its side may not have reported its headroom yet, as the task is
             # new or the side has just restarted.
-            self.headrooms.setdefault(workload.image, presses.FRESH_ROOM)
+            self.headrooms.setdefault(
+                workload.image, tail_interference.DEFAULT_HEADROOM
+            )
 
     def take_pairs(self, pairs, headrooms):
         """Set the presses, and the headrooms from ``messages.Headroom``."""
@@ -149,7 +151,7 @@
         pace = 1.0
         share = self._get_cpu_share(workload)
         for serving, room in self.headrooms.items():
-            press = self.pairs.find_upper(serving, workload.image)
+            press = self.pairs.get_upper_bound(serving, workload.image)
             cost = press * share
             if cost <= 0:
                 continue
@@ -162,7 +164,7 @@
         """Return the headroom used by filling tasks that come after a rank."""
         total = 0.0
         for task in self.fillings:
-            press = self.pairs.find_upper(serving, task.image)
+            press = self.pairs.get_upper_bound(serving, task.image)
             if precedence.rank(task.weight, press) > rank:
                 total += press * task.share
         return total
@@ -182,7 +184,7 @@
             pace = self.predict_pace(workload, weight)
             share = self._get_cpu_share(workload)
             for serving in self.headrooms:
-                press = self.pairs.find_upper(serving, workload.image)
+                press = self.pairs.get_upper_bound(serving, workload.image)
                 self.headrooms[serving] -= press * share * pace
             self.note_filling(workload, weight, pace)
         self.reserved = self.reserved.add(workload.reserved)
--- a/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
@@ -7,38 +7,38 @@
 
 import result
 
+from portwharf.core import bounded_cache
 from portwharf.core import data
-from portwharf.core import recent
 from portwharf.peers import messages
-from portwharf.platform import beats
-from portwharf.platform import clients
-from portwharf.platform import clients_test
-from portwharf.platform import ends
-from portwharf.platform import kv
-from portwharf.platform import kv_test
-from portwharf.platform import line
-from portwharf.platform import rebirth_test
+from portwharf.platform import ended_attempts
+from portwharf.platform import heartbeats
+from portwharf.platform import job_api
+from portwharf.platform import job_api_test
 from portwharf.platform import runner
+from portwharf.platform import runner_connection
+from portwharf.platform import runner_restart_test
 from portwharf.platform import runner_test
-from portwharf.scheduler import births_test
+from portwharf.platform import store_client
+from portwharf.platform import store_client_test
 from portwharf.scheduler import decider
 from portwharf.scheduler.decisions import backlog
-from portwharf.scheduler.decisions import planning
-from portwharf.scheduler.decisions import rehoming
-from portwharf.scheduler.decisions import rehoming_test
+from portwharf.scheduler.decisions import pass_inputs
+from portwharf.scheduler.decisions import task_moves
+from portwharf.scheduler.decisions import task_moves_test
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import faults_test
 from portwharf.scheduler import jobs_test
-from portwharf.scheduler import preparing
-from portwharf.scheduler import preparing_test
+from portwharf.scheduler import prepared_starts
+from portwharf.scheduler import prepared_starts_test
 from portwharf.scheduler import reconcile
 from portwharf.scheduler import state
+from portwharf.scheduler import worker_restarts_test
 from portwharf.side import agent
-from portwharf.side import doubts
-from portwharf.side import losses_test
+from portwharf.side import loss_reporter_test
 from portwharf.side import pacing
 from portwharf.side import pacing_test
-from portwharf.side import traits_test
+from portwharf.side import task_traits_test
+from portwharf.side import unconfirmed
 
 check = faults_test.check
 
@@ -87,7 +87,7 @@
     check(
         case,
         jobs_test.test_occurrences_become_due_one_by_one,
-        planning,
+        pass_inputs,
         'list_demands',
         lambda made, avoided, now_ms: [
             backlog.Demand(record) for record in made.list_unended()
@@ -111,7 +111,7 @@
 
 
 def test_prepared_task_requeued_too_early_is_caught(case):
-    original = preparing.Preparation._resolve_task
+    original = prepared_starts.PreparedStarts._resolve_task
 
     def resolve(self, task, view, *more):
         if view is not None:
@@ -120,8 +120,8 @@
 
     check(
         case,
-        preparing_test.test_prepared_task_is_kept_until_its_side_has_reported,
-        preparing.Preparation,
+        prepared_starts_test.test_prepared_task_is_kept_until_its_side_reports,
+        prepared_starts.PreparedStarts,
         '_resolve_task',
         resolve,
     )
@@ -130,8 +130,8 @@
 def test_unanswered_start_reported_gone_at_once_is_caught(case):
     check(
         case,
-        losses_test.test_start_is_not_called_gone_while_its_stop_is_unanswered,
-        doubts.Doubts,
+        loss_reporter_test.test_start_is_not_gone_while_its_stop_is_unanswered,
+        unconfirmed.UnconfirmedCommands,
         'settle_starts',
         lambda self, worker, listing: sorted(self._starts),
     )
@@ -140,9 +140,9 @@
 def test_forgotten_previous_life_is_caught(case):
     check(
         case,
-        losses_test.test_attempt_of_a_former_life_of_the_worker_is_gone,
-        doubts.Doubts,
-        'has_begun',
+        loss_reporter_test.test_attempt_of_an_earlier_incarnation_is_gone,
+        unconfirmed.UnconfirmedCommands,
+        'has_started',
         lambda self, task, attempt: False,
     )
 
@@ -150,9 +150,9 @@
 def test_unreported_vanished_attempt_is_caught(case):
     check(
         case,
-        losses_test.test_absent_worker_runs_nothing,
+        loss_reporter_test.test_absent_worker_runs_nothing,
         agent.Agent,
-        '_tell_vanished',
+        '_report_vanished',
         lambda self, former, reason: None,
     )
 
@@ -166,7 +166,7 @@
 
     check(
         case,
-        losses_test.test_leaving_worker_takes_no_starts,
+        loss_reporter_test.test_leaving_worker_takes_no_starts,
         agent.Agent,
         '_check_start',
         check_start,
@@ -176,9 +176,9 @@
 def test_ignored_latency_over_its_target_is_caught(case):
     check(
         case,
-        pacing_test.test_tail_over_its_target_brakes_everything_that_fills,
+        pacing_test.test_missed_target_throttles_all_filling_tasks,
         pacing.Pacer,
-        '_pull_brake',
+        '_update_throttle_factor',
         lambda self, serving, filled, now: None,
     )
 
@@ -186,7 +186,7 @@
 def test_move_without_improvement_is_caught(case):
     check(
         case,
-        rehoming_test.test_nothing_moves_where_it_would_work_no_better,
+        task_moves_test.test_nothing_moves_where_it_would_work_no_better,
         vmview.VmView,
         'predict_pace',
         lambda self, workload: 1.0,
@@ -196,9 +196,9 @@
 def test_move_right_after_the_start_is_caught(case):
     check(
         case,
-        rehoming_test.test_task_that_has_just_begun_stays,
-        rehoming,
-        'LEAST_SECONDS',
+        task_moves_test.test_task_that_has_just_begun_stays,
+        task_moves,
+        'MIN_RUNNING_SECONDS',
         0.0,
     )
 
@@ -206,9 +206,9 @@
 def test_lost_store_answer_taken_for_a_refusal_is_caught(case):
     check(
         case,
-        kv_test.test_lost_answer_is_unknown_and_a_refusal_is_not,
-        kv,
-        '_NOT_DONE',
+        store_client_test.test_lost_answer_is_unknown_and_a_refusal_is_not,
+        store_client,
+        '_UNCHANGED_STATUSES',
         (400, 403, 404, 429, 500, 503),
     )
 
@@ -222,8 +222,8 @@
     check(
         case,
         runner_test.test_ends_stay_until_they_are_logged_in_order,
-        ends.Ends,
-        '_move_ack',
+        ended_attempts.EndedAttempts,
+        '_advance_ack',
         move,
     )
 
@@ -231,10 +231,12 @@
 def test_acknowledged_number_of_a_previous_life_is_caught(case):
     for test in (
         runner_test.test_new_life_is_never_told_of_the_old_ones_numbers,
-        rebirth_test.test_end_in_a_life_under_a_former_id_is_told_at_once,
+        runner_restart_test.test_end_under_a_reused_id_is_reported_at_once,
     ):
-        kept = ends.Ends()
-        check(case, test, ends, 'Ends', lambda kept=kept: kept)
+        kept = ended_attempts.EndedAttempts()
+        check(
+            case, test, ended_attempts, 'EndedAttempts', lambda kept=kept: kept
+        )
 
 
 def test_lives_compared_by_id_alone_are_caught(case):
@@ -243,8 +245,8 @@
 
     check(
         case,
-        births_test.test_restarts_under_one_id_count_as_separate_crashes,
-        data.LifeId,
+        worker_restarts_test.test_restarts_under_one_id_are_separate_crashes,
+        data.IncarnationId,
         '__eq__',
         is_same,
     )
@@ -253,21 +255,23 @@
 def test_ignored_birth_number_is_caught(case):
     check(
         case,
-        rebirth_test.test_lives_under_one_id_are_told_apart,
-        beats,
-        'read_birth',
+        runner_restart_test.test_lives_under_one_id_are_told_apart,
+        heartbeats,
+        'read_birth_time',
         lambda value: 0,
     )
 
 
 def test_order_sent_to_any_life_is_caught(case):
-    def order(self, way, life, path, body, seconds=line.CALL_SECONDS):
+    def order(
+        self, way, life, path, body, seconds=runner_connection.CALL_SECONDS
+    ):
         self._reach(way)
         return way.order(path, body, seconds)
 
     check(
         case,
-        rebirth_test.test_orders_for_a_former_life_do_not_reach_the_next,
+        runner_restart_test.test_orders_do_not_reach_the_next_incarnation,
         runner.RunnerWorker,
         '_order',
         order,
@@ -277,9 +281,9 @@
 def test_fencing_token_shared_by_lives_is_caught(case):
     check(
         case,
-        rebirth_test.test_late_order_of_a_former_life_is_refused_by_the_next,
-        line.Fence,
-        'rise',
+        runner_restart_test.test_late_order_is_refused_by_the_next_incarnation,
+        runner_connection.FencingTokens,
+        'advance',
         lambda self: None,
     )
 
@@ -287,9 +291,9 @@
 def test_unknown_outcome_reported_as_not_run_is_caught(case):
     check(
         case,
-        clients_test.test_refusals_say_what_is_true,
-        clients,
-        '_find_status',
+        job_api_test.test_refusals_say_what_is_true,
+        job_api,
+        '_map_status',
         lambda answer: 503,
     )
 
@@ -315,9 +319,9 @@
 def test_side_without_its_held_tasks_is_caught(case):
     check(
         case,
-        traits_test.test_restarted_side_paces_beside_servers_begun_before,
+        task_traits_test.test_restarted_side_throttles_beside_earlier_servers,
         reconcile,
-        'make_held',
+        'make_held_tasks',
         lambda state, vm: messages.HeldTasks(),
     )
 
@@ -325,7 +329,7 @@
 def test_forgotten_share_of_a_previous_side_is_caught(case):
     check(
         case,
-        traits_test.test_restarted_side_takes_back_a_pace_set_before,
+        task_traits_test.test_restarted_side_releases_an_earlier_throttle,
         pacing.Pacer,
         'note_held',
         pacing.Pacer.note_start,
@@ -335,9 +339,9 @@
 def test_dropped_running_task_is_caught(case):
     check(
         case,
-        pacing_test.test_server_is_known_however_many_tasks_began_after_it,
-        recent.Recent,
-        'use',
+        pacing_test.test_running_server_is_not_evicted_from_the_traits_cache,
+        bounded_cache.BoundedCache,
+        'set_in_use',
         lambda self, names: None,
     )
 
@@ -345,8 +349,8 @@
 def test_filling_task_that_is_never_paused_is_caught(case):
     check(
         case,
-        pacing_test.test_what_fills_stands_still_beside_a_server_that_is_late,
+        pacing_test.test_filling_tasks_are_suspended_after_a_long_target_miss,
         pacing.Pacer,
-        '_stands_still',
+        '_is_suspended',
         lambda self, now: False,
     )
--- a/packages/scheduler/portwharf/scheduler/faults_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_test.py
@@ -13,7 +13,7 @@
 
 from portwharf.core import data
 from portwharf.scheduler import decider
-from portwharf.scheduler.decisions import planning
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler import grants
 from portwharf.scheduler import grants_test
 from portwharf.scheduler import guard
@@ -53,8 +53,8 @@
     check(
         case,
         agent_test.test_command_of_a_former_owner_is_refused,
-        guard.Guard,
-        'accepts',
+        guard.GrantGuard,
+        'accepts_epoch',
         lambda self, epoch: True,
     )
 
@@ -67,7 +67,7 @@
     check(
         case,
         grants_test.test_former_owner_is_rejected,
-        guard.Guard,
+        guard.GrantGuard,
         'accept_owner',
         accept,
     )
@@ -126,12 +126,12 @@
             command.conn = self._conn
         return original(self, command)
 
-    original = agent.Agent._obey
+    original = agent.Agent._execute
     check(
         case,
         agent_test.test_command_of_an_ended_connection_is_dropped,
         agent.Agent,
-        '_obey',
+        '_execute',
         obey,
     )
 
@@ -140,8 +140,8 @@
     check(
         case,
         grants_test.test_restarted_side_accepts_no_epoch_and_no_grant,
-        guard.Guard,
-        'accepts',
+        guard.GrantGuard,
+        'accepts_epoch',
         lambda self, epoch: epoch == self._epoch,
     )
 
@@ -151,7 +151,7 @@
         case,
         ownership_test.test_refused_attempt_is_final,
         agent.Agent,
-        '_burn',
+        '_record_refusal',
         lambda self, message: None,
     )
 
@@ -211,8 +211,8 @@
 def test_leases_renewed_without_a_grant(case):
     check(
         case,
-        agent_test.test_without_a_grant_exclusive_tasks_are_saved_and_stopped,
-        guard.Guard,
+        agent_test.test_exclusive_tasks_are_stopped_without_a_grant,
+        guard.GrantGuard,
         'is_granted',
         lambda self: True,
     )
@@ -221,7 +221,7 @@
 def test_lease_end_not_bound_to_the_grant(case):
     check(
         case,
-        agent_test.test_leases_end_a_while_after_the_grant,
+        agent_test.test_leases_end_after_the_grant,
         leases.LeaseKeeper,
         'compute_end',
         lambda self: self._listing.now_ms + 10_000,
@@ -243,16 +243,16 @@
 
     def judge(self, item, batch):
         original(self, item, batch)
-        for effect in batch.effects:
-            effect()
-        batch.effects = []
+        for action in batch.after_commit:
+            action()
+        batch.after_commit = []
 
-    original = decider.Decider._judge
+    original = decider.Decider._process_reports
     check(
         case,
         ownership_test.test_result_survives_an_outage_and_its_owner,
         decider.Decider,
-        '_judge',
+        '_process_reports',
         judge,
     )
 
@@ -284,7 +284,7 @@
     check(
         case,
         scenario,
-        planning,
+        pass_inputs,
         'list_demands',
         lambda state, list_avoided: [],
     )
--- a/packages/scheduler/portwharf/scheduler/grants_test.py
+++ b/packages/scheduler/portwharf/scheduler/grants_test.py
@@ -94,7 +94,7 @@
 def make_guard(epoch=3):
     """Return a guard that has read an epoch, if any, and its clock."""
     now = clock.ManualClock()
-    made = guard.Guard(now, LIMITS)
+    made = guard.GrantGuard(now, LIMITS)
     if epoch is not None:
         made.learn_epoch(epoch)
     return made, now
@@ -104,8 +104,8 @@
     made, _ = make_guard()
     case.assertTrue(made.accept_owner(4, 'vm-1'))
     case.assertFalse(made.accept_owner(3, 'vm-0'))
-    case.assertFalse(made.accepts(3))
-    case.assertTrue(made.accepts(4))
+    case.assertFalse(made.accepts_epoch(3))
+    case.assertTrue(made.accepts_epoch(4))
 
 
 def test_grant_lasts_from_the_heartbeat(case):
@@ -131,19 +131,19 @@
     made, now = make_guard(epoch=None)
     case.assertTrue(made.accept_owner(4, 'vm-1'))
     made.accept_grant(4, now.read_monotonic(), True)
-    case.assertFalse(made.accepts(4))
+    case.assertFalse(made.accepts_epoch(4))
     case.assertFalse(made.is_granted())
     made.learn_epoch(5)
-    case.assertFalse(made.accepts(4))
+    case.assertFalse(made.accepts_epoch(4))
     case.assertFalse(made.accept_owner(4, 'vm-1'))
 
 
 def test_owner_is_heard_until_the_takeover_limit(case):
     made, now = make_guard()
-    case.assertFalse(made.hears_owner(3))
+    case.assertFalse(made.is_owner_alive(3))
     made.accept_owner(4, 'vm-1')
-    case.assertTrue(made.hears_owner(4))
+    case.assertTrue(made.is_owner_alive(4))
     now.advance(LIMITS.takeover)
     made.restart_wait()
-    case.assertFalse(made.hears_owner(4))
+    case.assertFalse(made.is_owner_alive(4))
     case.assertEqual(made.measure_silence(), 0)
--- a/packages/scheduler/portwharf/scheduler/guard.py
+++ b/packages/scheduler/portwharf/scheduler/guard.py
@@ -15,7 +15,7 @@
 REDIAL_SECONDS = links.REDIAL_SECONDS + 0.3
 
 
-class Guard:
+class GrantGuard:
     """Tracks the highest epoch and the owner's grants for a side."""
 
     def __init__(self, clock, limits):
@@ -42,7 +42,7 @@
         return self._owner
 
     @property
-    def forgetful(self):
+    def epoch_unknown(self):
         """Whether the side has restarted and not yet read its epoch.
 
         Before the restart it may have acknowledged a higher epoch, so until
@@ -83,7 +83,7 @@
                 until = sent_at + self._limits.guard
                 self._granted_until = max(self._granted_until, until)
 
-    def accepts(self, epoch):
+    def accepts_epoch(self, epoch):
         """Tell whether commands of an epoch are to be obeyed."""
         with self._lock:
             return epoch == self._epoch and not self._forgetful
@@ -105,7 +105,7 @@
             since = max(self._wait_began, self._last_heard or 0.0)
             return self._clock.read_monotonic() - since
 
-    def note_lost(self):
+    def record_disconnect(self):
         """Record that the connection of the owner has ended.
 
         A live owner redials at once, so the rest of the silence before a
@@ -118,7 +118,7 @@
             heard = now + REDIAL_SECONDS - self._limits.takeover
             self._last_heard = min(self._last_heard, heard)
 
-    def hears_owner(self, epoch):
+    def is_owner_alive(self, epoch):
         """Tell whether the owner of an epoch, or a newer one, is heard."""
         with self._lock:
             if self._forgetful or self._epoch < epoch:
@@ -139,11 +139,11 @@
                 self._wait_began = self._clock.read_monotonic()
 
     @property
-    def has_heard(self):
+    def has_seen_owner(self):
         """Whether any owner was heard since this process started."""
         return self._last_heard is not None
 
-    def take_call(self):
+    def take_takeover_request(self):
         """Tell, once only, whether the owner asked this side to take over."""
         requested = 0 < self._requested_epoch == self._epoch
         self._requested_epoch = 0
--- a/packages/scheduler/portwharf/scheduler/pairing.py
+++ b/packages/scheduler/portwharf/scheduler/interference_updates.py
@@ -9,17 +9,17 @@
 import threading
 
 from portwharf.peers import messages
-from portwharf.scheduler.decisions import presses
+from portwharf.scheduler.decisions import tail_interference
 
 # Between two updates to all sides. An update carries every pair.
 UPDATE_INTERVAL_SECONDS = 0.5
 
 
-class Pairing:
+class InterferenceTracker:
     """One owner's knowledge of pairs; safe to use from all its threads."""
 
     def __init__(self):
-        self.presses = presses.Presses()
+        self.presses = tail_interference.TailInterferenceModel()
         self._lock = threading.Lock()
         self._has_changes = False
         self._next_update = 0.0
@@ -30,10 +30,10 @@
         :param known: list of ``messages.Press``
         """
         with self._lock:
-            self.presses.adopt(known)
+            self.presses.add_unknown(known)
             self._has_changes = True
 
-    def learn(self, observed):
+    def add_observations(self, observed):
         """Add a side's observations, a list of ``messages.PressObserved``."""
         with self._lock:
             for one in observed:
@@ -45,7 +45,7 @@
         with self._lock:
             return messages.PressUpdate(self.presses.list_all())
 
-    def take_news(self, now):
+    def take_due_update(self, now):
         """Return the update that is due for all sides, or None."""
         if now < self._next_update or not self._has_changes:
             return None
--- a/packages/scheduler/portwharf/scheduler/job_operations.py
+++ b/packages/scheduler/portwharf/scheduler/job_operations.py
@@ -50,7 +50,7 @@
         return result.Ok(
             operations.CallOutcome(answer=operations.Accepted(call.job.id))
         )
-    problem = jobs.find_problem(call.job)
+    problem = jobs.validate_job(call.job)
     if problem is not None:
         return result.Err(problem)
     outcome = operations.CallOutcome(
--- a/packages/scheduler/portwharf/scheduler/jobs.py
+++ b/packages/scheduler/portwharf/scheduler/jobs.py
@@ -106,7 +106,7 @@
     return job.stretch * chain_ms + job.allowance_ms
 
 
-def find_problem(job):
+def validate_job(job):
     """Return why a job is not valid, as ``data.Problem``, or None."""
     if not job.id or not job.steps:
         return _make_problem(job, 'id', job.id, 'a job needs an id and steps')
--- a/packages/scheduler/portwharf/scheduler/jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/jobs_test.py
@@ -5,8 +5,8 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import forecast
-from portwharf.scheduler.decisions import planning
-from portwharf.scheduler.decisions import presses
+from portwharf.scheduler.decisions import pass_inputs
+from portwharf.scheduler.decisions import tail_interference
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import events
 from portwharf.scheduler import job_operations
@@ -44,7 +44,7 @@
 
 def list_demanded(made, now_ms=NOW):
     """Return the ids of the workloads that have demand."""
-    demands = planning.list_demands(made, lambda _: frozenset(), now_ms)
+    demands = pass_inputs.list_demands(made, lambda _: frozenset(), now_ms)
     return [demand.record.id for demand in demands]
 
 
@@ -52,8 +52,8 @@
     """Place an attempt and process the report of its end."""
     made.apply(events.TaskPlaced(task, attempt, 'vm-1'))
     report = messages.TaskReport(task, attempt, ended)
-    verdict = reconcile.Verdict()
-    reconcile.judge_report(made, 'vm-1', report, verdict)
+    verdict = reconcile.ReportOutcome()
+    reconcile.process_report(made, 'vm-1', report, verdict)
     return verdict
 
 
@@ -154,7 +154,7 @@
 
 
 def test_dependency_on_a_later_step_is_refused(case):
-    problem = jobs.find_problem(make_job(make_step(after=['0'])))
+    problem = jobs.validate_job(make_job(make_step(after=['0'])))
     case.assertEqual(problem.field, 'steps.0.after')
     case.assertIn('earlier step', problem.text)
 
@@ -210,23 +210,26 @@
     made.finish_running()
     made.run(1)
     query = messages.Operation(1, 'read-job', b'\x81\xa2id\xb0' + ID.encode())
-    shown = node.owner.operate(query)
+    shown = node.owner.execute_operation(query)
     case.assertIn(b'running', shown.body)
     made.standin.faults.down = False
     made.run(2)
-    case.assertIn(b'completed', node.owner.operate(query).body)
+    case.assertIn(b'completed', node.owner.execute_operation(query).body)
 
 
 def test_step_that_waited_long_is_placed_on_any_vm(case):
     made = accept(make_step(fills=True, image='plan'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
-    view.take_pairs(presses.Presses(), [messages.Headroom('desk', 0.0)])
-    patience = planning.Patience()
+    view.take_pairs(
+        tail_interference.TailInterferenceModel(),
+        [messages.Headroom('desk', 0.0)],
+    )
+    patience = pass_inputs.Patience()
     placed = []
     for now in (0.0, 1.0, 2.0):
-        demands = planning.list_demands(made, lambda _: {'vm-1'}, NOW)
+        demands = pass_inputs.list_demands(made, lambda _: {'vm-1'}, NOW)
         patience.apply(demands, now)
-        done = planning.plan(made, demands, [view], {}, NOW)
+        done = pass_inputs.plan(made, demands, [view], {}, NOW)
         patience.note({one.record.id for one in done.waiting}, now)
         placed.append(len(done.placements))
     case.assertEqual(placed, [0, 0, 1])
@@ -236,14 +239,17 @@
     made = accept(make_step(2, fills=True, image='plan'))
     made.apply(events.TaskPlaced(f'{FIRST}.0', 1, 'vm-2'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
-    view.take_pairs(presses.Presses(), [messages.Headroom('desk', 0.0)])
-    patience = planning.Patience()
+    view.take_pairs(
+        tail_interference.TailInterferenceModel(),
+        [messages.Headroom('desk', 0.0)],
+    )
+    patience = pass_inputs.Patience()
     patience.note({FIRST}, 0.0)
     placed = []
-    for now in (2.0, planning.REST_PATIENCE_SECONDS + 1):
-        demands = planning.list_demands(made, lambda _: frozenset(), NOW)
+    for now in (2.0, pass_inputs.REST_PATIENCE_SECONDS + 1):
+        demands = pass_inputs.list_demands(made, lambda _: frozenset(), NOW)
         patience.apply(demands, now)
-        done = planning.plan(made, demands, [view], {}, NOW)
+        done = pass_inputs.plan(made, demands, [view], {}, NOW)
         placed.append(len(done.placements))
     case.assertEqual(placed, [0, 1])
 
@@ -251,11 +257,11 @@
 def test_job_that_stands_still_gets_one_task_beyond_the_processors(case):
     made = accept(make_step(3, fills=True, image='plan'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
-    view.take_pairs(presses.Presses(), [])
+    view.take_pairs(tail_interference.TailInterferenceModel(), [])
     view.filling_milli = 9000
-    (demand,) = planning.list_demands(made, lambda _: frozenset(), NOW)
-    done = planning.plan(made, [demand], [view], {}, NOW)
+    (demand,) = pass_inputs.list_demands(made, lambda _: frozenset(), NOW)
+    done = pass_inputs.plan(made, [demand], [view], {}, NOW)
     case.assertEqual(done.placements, [])
-    demand.take_any()
-    done = planning.plan(made, [demand], [view], {}, NOW)
+    demand.accept_any_vm()
+    done = pass_inputs.plan(made, [demand], [view], {}, NOW)
     case.assertEqual(len(done.placements), 1)
--- a/packages/scheduler/portwharf/scheduler/members.py
+++ b/packages/scheduler/portwharf/scheduler/members.py
@@ -54,7 +54,7 @@
     headrooms: list = dataclasses.field(default_factory=list)
     paced: list = dataclasses.field(default_factory=list)
     rack: str = ''
-    life: data.LifeId = data.LifeId()
+    life: data.IncarnationId = data.IncarnationId()
     saved: collections.deque = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=MAX_SAVED_TASKS)
     )
@@ -84,11 +84,11 @@
     def make_hello(self):
         # Computed before the greeting starts the idle timeout of the side, as
         # the owner may hold its lock for a whole pass.
-        self._held_tasks = self._owner.make_held(self.name)
+        self._held_tasks = self._owner.make_held_tasks(self.name)
         return self._owner.make_hello()
 
     def attach(self, conn, peer):
-        self._owner.note_epoch(peer.epoch)
+        self._owner.check_epoch(peer.epoch)
         conn.send(self._owner.make_grant(self.name, 0))
         # Sent before any command: a restarted side does not know the tasks on
         # its VM, and could not pace their neighbours.
@@ -118,7 +118,9 @@
         elif isinstance(message, messages.Reports):
             self._owner.take_reports(self, message)
         else:
-            raise streams.GarbledError(f'unexpected {type(message).__name__}')
+            raise streams.ProtocolError(
+                f'unexpected message {type(message).__name__}'
+            )
 
     def _record_heartbeat(self, beat):
         view = self.view
@@ -132,15 +134,15 @@
         view.headrooms = beat.headrooms
         view.paced = beat.paced
         view.rack = beat.rack
-        view.life = data.LifeId(beat.life, beat.born_ms)
+        view.life = data.IncarnationId(beat.life, beat.born_ms)
         view.saved.extend(beat.saved)
         view.measured.extend(beat.measured)
         if beat.known:
-            self._owner.take_known(beat.known)
+            self._owner.adopt_presses(beat.known)
         if beat.observed:
-            self._owner.take_observed(beat.observed)
+            self._owner.record_presses_observed(beat.observed)
         view.config_revision = beat.config_revision
-        self._owner.note_epoch(beat.epoch)
+        self._owner.check_epoch(beat.epoch)
         self._owner.record_ack(self.name, beat)
         if beat.measures:
             self._owner.take_measures(self.name, beat.measures)
--- a/packages/scheduler/portwharf/scheduler/members_test.py
+++ b/packages/scheduler/portwharf/scheduler/members_test.py
@@ -47,7 +47,7 @@
         """Return a configuration."""
         return messages.ConfigUpdate(5, 'text')
 
-    def make_held(self, member):
+    def make_held_tasks(self, member):
         """Return the tasks that a member holds."""
         return HELD
 
@@ -63,14 +63,14 @@
         """Return the known effects between pairs of images."""
         return messages.PressUpdate()
 
-    def take_observed(self, observed):
+    def record_presses_observed(self, observed):
         """Ignore what a side has measured."""
 
     def make_grant(self, member, side_ms):
         """Return a grant."""
         return messages.Grant(side_ms, 7000, 3, side_ms > 0)
 
-    def note_epoch(self, epoch):
+    def check_epoch(self, epoch):
         """Ignore an epoch."""
 
     def record_ack(self, member, beat):
@@ -104,10 +104,10 @@
     return listener.port, conns
 
 
-def greet(conns):
+def exchange_hellos(conns):
     """Take a connection from the queue and greet as a side does."""
     conn = conns.get(timeout=10)
-    streams.check_greeting(conn.receive())
+    streams.check_hello(conn.receive())
     conn.send(messages.Hello(role='side', name='vm-1'))
     return conn
 
@@ -115,7 +115,7 @@
 def test_heartbeat_is_answered_with_a_grant(case):
     port, conns = accept(case)
     link, owner = make_link(case, port)
-    conn = greet(conns)
+    conn = exchange_hellos(conns)
     case.assertEqual(conn.receive(), messages.Grant(0, 7000, 3, False))
     case.assertEqual(conn.receive(), HELD)
     case.assertEqual(conn.receive(), ZONES)
@@ -130,7 +130,7 @@
 def test_side_of_another_epoch_gets_no_grant(case):
     port, conns = accept(case)
     make_link(case, port)
-    conn = greet(conns)
+    conn = exchange_hellos(conns)
     for _ in range(5):
         conn.receive()
     conn.send(messages.Heartbeat(11, 22, 0))
@@ -140,8 +140,8 @@
 def test_lost_connection_is_dialled_again(case):
     port, conns = accept(case)
     make_link(case, port)
-    greet(conns).close()
-    conn = greet(conns)
+    exchange_hellos(conns).close()
+    conn = exchange_hellos(conns)
     case.assertIsInstance(conn.receive(), messages.Grant)
 
 
@@ -163,12 +163,12 @@
     port, conns = accept(case)
     relayed = case.enterContext(relay.Relay('127.0.0.1', 0, port))
     link, _ = make_link(case, relayed.port)
-    conn = greet(conns)
+    conn = exchange_hellos(conns)
     case.assertEqual(conn.receive(), messages.Grant(0, 7000, 3, False))
-    relayed.hush()
+    relayed.freeze_connections()
     # Much earlier than the idle timeout of streams in general.
     conn = conns.get(timeout=8)
-    streams.check_greeting(conn.receive())
+    streams.check_hello(conn.receive())
     conn.send(messages.Hello(role='side', name='vm-1'))
     case.assertEqual(conn.receive(), messages.Grant(0, 7000, 3, False))
     case.assertFalse(link.view.reported)
--- a/packages/scheduler/portwharf/scheduler/membership.py
+++ b/packages/scheduler/portwharf/scheduler/membership.py
@@ -8,7 +8,7 @@
 
 from portwharf.core import data
 from portwharf.peers import messages
-from portwharf.scheduler.decisions import planning
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler.decisions import precedence
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import events
@@ -39,7 +39,7 @@
         state,
         grant_table,
         health,
-        pressure,
+        service_protection,
         pairs=None,
         runtimes=None,
     ):
@@ -48,14 +48,15 @@
         :param env: an ``environment.Environment``
         :param state: the ``state.ShardState``
         :param grant_table: the ``grants.GrantTable`` of the owner
-        :param health: a ``health.Health`` of the shard's workers
-        :param pressure: a ``pressure.Pressure`` of the shard's workers
-        :param pairs: a ``presses.Presses``, or None
+        :param health: a ``health.WorkerHealthTracker`` of the shard's workers
+        :param service_protection: a
+            ``service_protection.ServiceProtection`` of the shard's workers
+        :param pairs: a ``tail_interference.TailInterferenceModel``, or None
         :param runtimes: a ``forecast.RunTimes``, or None
         """
         self._pairs = pairs
         self._runtimes = runtimes
-        self._pressure = pressure
+        self._service_protection = service_protection
         self._env = env
         self._state = state
         self._grants = grant_table
@@ -99,7 +100,7 @@
         ended = []
         for name, link in self._links.items():
             vm = wanted.get(name)
-            if vm is None or not planning.is_same_place(link.view.vm, vm):
+            if vm is None or not pass_inputs.is_same_place(link.view.vm, vm):
                 ended.append(links.pop(name))
         for name, vm in wanted.items():
             if name not in links:
@@ -165,9 +166,9 @@
             view.closed = self._find_closed_reason(
                 name, link, now
             ) or self._find_zone_closed_reason(link)
-            view.probe = self._health.is_probed(name, now)
+            view.probe = self._health.awaits_probe(name, now)
             views.append(view)
-        self._pressure.fill_views(views, now)
+        self._service_protection.fill_views(views, now)
         return views
 
     def _add_fill(self, link, view, weigher):
@@ -189,7 +190,7 @@
             return
         for task in self._state.held[view.vm.name].values():
             if task.crashes:
-                unit = suspects.find_unit(self._state, task)
+                unit = suspects.find_failure_unit(self._state, task)
                 view.note_suspect(unit, len(task.crashes))
 
     def pick_successor(self, now):
@@ -216,11 +217,11 @@
         self._next_list_read = now + VM_LIST_INTERVAL_SECONDS
         answer = self._env.vmlist.read()
         if answer.is_ok():
-            self._unprocessed_vms = planning.pick_members(
+            self._unprocessed_vms = pass_inputs.pick_members(
                 answer.ok_value, self._env.shard
             )
 
-    def take_change(self, now):
+    def pop_member_change(self, now):
         """Process the VM list that was read last.
 
         :returns: an event that adds or removes one member, or None
@@ -242,7 +243,7 @@
     def _find_change(self, shard_vms, now):
         for vm in shard_vms:
             known = self._state.members.get(vm.name)
-            if known is None or not planning.is_same_place(known, vm):
+            if known is None or not pass_inputs.is_same_place(known, vm):
                 return events.MemberAdded(vm)
         for name in self._state.members:
             if self._is_gone(name, now) and not self._state.held[name]:
@@ -278,7 +279,7 @@
         zone = link.view.vm.availability_zone
         return CLOSED_ZONE if self._env.zones.is_closed(zone) else ''
 
-    def knows_zones(self, now):
+    def has_recent_zones(self, now):
         """Tell whether the reading of the closed zones is recent enough.
 
         A new owner must have read them itself: what its side was told may be
--- a/packages/scheduler/portwharf/scheduler/membership_test.py
+++ b/packages/scheduler/portwharf/scheduler/membership_test.py
@@ -58,7 +58,7 @@
         return result.Err('slow')
 
     def greet_side():
-        owner.make_held('vm-01')
+        owner.make_held_tasks('vm-01')
         greeted.set()
 
     made.listing.read = read
--- a/packages/scheduler/portwharf/scheduler/desk.py
+++ b/packages/scheduler/portwharf/scheduler/operator_api.py
@@ -15,7 +15,7 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.scheduler import batches
-from portwharf.scheduler.decisions import planning
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler import job_operations
 from portwharf.scheduler import operations
 
@@ -38,7 +38,7 @@
 }
 
 
-class Desk:
+class OperatorApi:
     """Handles the operators' calls to one owner."""
 
     def __init__(self, env, owner, lock, state, members, decider):
@@ -56,7 +56,7 @@
         self._members = members
         self._decider = decider
 
-    def operate(self, operation):
+    def execute_operation(self, operation):
         """Execute an operator's call.
 
         :param operation: a ``messages.Operation``
@@ -128,9 +128,11 @@
 
         :returns: Ok(a data class of ``operations``), or Err(Problem)
         """
-        if not self._owner.takes_calls():
+        if not self._owner.accepts_calls():
             return result.Err(make_stalled_problem())
-        called = batches.Called(concurrent.futures.Future(), method, call)
+        called = batches.OperatorCall(
+            concurrent.futures.Future(), method, call
+        )
         self._owner.take_call(called)
         try:
             answer = called.fut.result(OPERATION_TIMEOUT_SECONDS)
@@ -158,7 +160,7 @@
             counts = self._state.count_states(record)
             report.waiting += counts[data.TaskState.WAITING]
             report.running += sum(counts[s] for s in data.HELD_STATES)
-        for team, used in planning.sum_by_team(self._state).items():
+        for team, used in pass_inputs.sum_by_team(self._state).items():
             report.teams.append(operations.TeamUse(team, used))
         for view in views:
             name = view.vm.name
@@ -187,7 +189,7 @@
 def refuse_call(called):
     """Refuse a queued call unless its caller has given up.
 
-    :param called: a ``batches.Called``
+    :param called: a ``batches.OperatorCall``
     """
     if called.fut.set_running_or_notify_cancel():
         called.fut.set_result(make_stalled_problem())
