--- a/packages/scheduler/portwharf/scheduler/owner.py
+++ b/packages/scheduler/portwharf/scheduler/owner.py
@@ -21,11 +21,11 @@
 from portwharf.scheduler import configuration
 from portwharf.scheduler import decider
 from portwharf.scheduler.decisions import health
-from portwharf.scheduler import desk
 from portwharf.scheduler import grants
+from portwharf.scheduler import interference_updates
 from portwharf.scheduler import membership
 from portwharf.scheduler import metrics
-from portwharf.scheduler import pairing
+from portwharf.scheduler import operator_api
 from portwharf.scheduler import policy
 from portwharf.scheduler import reconcile
 from portwharf.scheduler import shardlog
@@ -71,26 +71,26 @@
         self._next_append = 0.0
         self._next_store_check = 0.0
         self._snapshot_seq = log.next_seq
-        worker_health = health.Health()
+        worker_health = health.WorkerHealthTracker()
         self._grants = grants.GrantTable(state.members, env.limits)
-        self._advisor = policy.Advisor(
+        self._advisor = policy.TicketCache(
             env.policy, env.clock, lambda: self._inbox.put(None)
         )
         self._decider = decider.Decider(
             env, state, self._grants, worker_health, self._advisor
         )
-        self._pairing = pairing.Pairing()
+        self._interference = interference_updates.InterferenceTracker()
         self._members = membership.Membership(
             env,
             state,
             self._grants,
             worker_health,
-            self._decider.pressure,
-            self._pairing.presses,
+            self._decider.service_protection,
+            self._interference.presses,
             self._decider.runtimes,
         )
         self._decider.set_members(self._members)
-        self._desk = desk.Desk(
+        self._operator_api = operator_api.OperatorApi(
             env, self, self._lock, state, self._members, self._decider
         )
         # Items that arrived while an append was stalled.
@@ -189,11 +189,11 @@
         """Return the closed availability zones, as a message for a side."""
         return self._env.zones.make_update()
 
-    def make_held(self, member):
+    def make_held_tasks(self, member):
         """Return the tasks that a member holds by the log, for its side."""
         with self._lock:
             runtimes = self._decider.runtimes
-            return reconcile.make_held(self._state, member, runtimes)
+            return reconcile.make_held_tasks(self._state, member, runtimes)
 
     def make_rosters(self):
         """Return the rosters, as a message for a side."""
@@ -201,34 +201,34 @@
 
     def make_presses(self):
         """Return the known effects between pairs of images, for a side."""
-        return self._pairing.make_update()
+        return self._interference.make_update()
 
-    def take_known(self, known):
+    def adopt_presses(self, known):
         """Adopt the pair effects that a former owner told a side."""
-        self._pairing.adopt(known)
+        self._interference.adopt(known)
 
-    def take_observed(self, observed):
+    def record_presses_observed(self, observed):
         """Add what a side has measured of pairs of images."""
-        self._pairing.learn(observed)
+        self._interference.add_observations(observed)
 
     def record_ack(self, member, beat):
         """Record a heartbeat that acknowledges this epoch."""
         if beat.epoch == self.epoch:
-            self._decider.rosters.note_ack(member, beat.roster_seq)
+            self._decider.rosters.record_ack(member, beat.roster_seq)
         if beat.epoch == self.epoch and beat.owner_ms:
             now = self.read_clock()
             self._grants.record_ack(member, beat.owner_ms / _MS, now)
 
-    def tell_config(self):
+    def send_config(self):
         """Send the configuration in force to all sides."""
         self._members.announce(self.make_config())
 
-    def tell_zones(self):
+    def send_closed_zones(self):
         """Send the closed zones to all sides and wake the deciding thread."""
         self._members.announce(self.make_zones())
         self._inbox.put(None)
 
-    def note_epoch(self, epoch):
+    def check_epoch(self, epoch):
         """Check the log if a member knows a higher epoch."""
         if epoch > self.epoch:
             self._check_requested.set()
@@ -238,20 +238,20 @@
     def take_reports(self, link, message):
         """Queue the reports of a side."""
         connection = link.view.connection
-        self._inbox.put(batches.Reported(link, message, connection))
+        self._inbox.put(batches.ReportsItem(link, message, connection))
 
     def take_measures(self, vm, measures):
         """Queue the service measurements of a side."""
-        self._inbox.put(batches.Measured(vm, measures))
+        self._inbox.put(batches.MeasurementsItem(vm, measures))
 
     # Called by entries, each from the thread of its connection.
 
-    def operate(self, operation):
+    def execute_operation(self, operation):
         """Carry out a call of an operator.
 
         :returns: a ``messages.OperationResult``
         """
-        return self._desk.operate(operation)
+        return self._operator_api.execute_operation(operation)
 
     @property
     def log_length(self):
@@ -267,7 +267,7 @@
         """
         return self._grants.may_grant(self.read_clock())
 
-    def takes_calls(self):
+    def accepts_calls(self):
         """Tell whether changing calls can be logged at present."""
         return not self.deposed.is_set() and not self._is_stalled()
 
@@ -283,10 +283,10 @@
         try:
             while not self._stop.is_set():
                 step = self.step(self._wait_for_input())
-                if step is batches.Step.DEPOSED:
+                if step is batches.StepResult.DEPOSED:
                     self._lost_ownership = True
                     break
-                if step is batches.Step.DONE:
+                if step is batches.StepResult.DONE:
                     wait = _RETRY_SECONDS
                     continue
                 self.serve_stalled()
@@ -325,16 +325,16 @@
         must be empty then. Called by the deciding thread alone, or by a test
         in its place.
 
-        :returns: a ``batches.Step``
+        :returns: a ``batches.StepResult``
         """
         if self._superseded:
             LOG.warning('deposed by a higher epoch', extra=self._extra())
             self.deposed.set()
-            return batches.Step.DEPOSED
+            return batches.StepResult.DEPOSED
         if self._batch is None:
             if not self._confirm_ownership():
                 self.deposed.set()
-                return batches.Step.DEPOSED
+                return batches.StepResult.DEPOSED
             self._members.sync_links(self)
             self._announce_presses()
             self._members.read_vm_list(self.read_clock())
@@ -343,25 +343,25 @@
             self._deferred = []
             with self._lock:
                 self._batch = self._decider.decide(items)
-            for effect in self._batch.early:
-                effect()
+            for action in self._batch.before_commit:
+                action()
         step = self._commit()
-        if step is batches.Step.DEPOSED:
+        if step is batches.StepResult.DEPOSED:
             self.deposed.set()
-        if step is batches.Step.DONE:
+        if step is batches.StepResult.DONE:
             # The append may have taken long. Sides check starts against the
             # closed zones they were told, so these go out first on each
             # connection.
             self._refresh_zones()
             batch, self._batch = self._batch, None
-            for effect in batch.effects:
-                effect()
+            for action in batch.after_commit:
+                action()
             self._write_snapshot_if_due()
         return step
 
     def _announce_presses(self):
         """Send changed pair effects to all members, at intervals."""
-        update = self._pairing.take_news(self.read_clock())
+        update = self._interference.take_due_update(self.read_clock())
         if update is not None:
             self._members.announce(update)
 
@@ -370,8 +370,8 @@
 
         Runs without the lock, as it may wait for the store.
         """
-        if not self._members.knows_zones(self.read_clock()):
-            self._env.zones.look(self._env.kv)
+        if not self._members.has_recent_zones(self.read_clock()):
+            self._env.zones.refresh(self._env.kv)
 
     def serve_stalled(self):
         """Handle input that needs no append, while one is stalled.
@@ -381,14 +381,14 @@
         """
         items = self.take_items()
         for item in items:
-            if isinstance(item, batches.Called):
-                desk.refuse_call(item)
+            if isinstance(item, batches.OperatorCall):
+                operator_api.refuse_call(item)
             elif item is not None:
                 self._deferred.append(item)
         self._request_takeover()
         for item in items:
-            if isinstance(item, batches.Reported):
-                starts = self._decider.preparation.note_stalled(
+            if isinstance(item, batches.ReportsItem):
+                starts = self._decider.preparation.start_in_freed_room(
                     item.link.name, item.message.reports
                 )
                 for start in starts:
@@ -450,11 +450,11 @@
             )
             chunk = remaining[: self._entry_size]
             step = self._append_entry(chunk)
-            if step is not batches.Step.DONE:
+            if step is not batches.StepResult.DONE:
                 return step
             del remaining[: self._entry_size]
             self._entry_size = 0
-        return batches.Step.DONE
+        return batches.StepResult.DONE
 
     def _append_entry(self, chunk):
         sent_at = self.read_clock()
@@ -463,16 +463,16 @@
         metrics.APPENDS.inc()
         if answer.is_ok():
             self._pending_since = None
-            self._decider.preparation.note_confirmed()
+            self._decider.preparation.clear_freed()
             self._grants.record_store(sent_at)
             self._next_append = sent_at + self._env.append_interval
-            return batches.Step.DONE
+            return batches.StepResult.DONE
         error = answer.err_value
         if isinstance(error, shardlog.Deposed):
             LOG.warning('deposed by an append', extra=self._extra())
-            return batches.Step.DEPOSED
+            return batches.StepResult.DEPOSED
         LOG.warning('append stalled: %s', error.text, extra=self._extra())
-        return batches.Step.STALLED
+        return batches.StepResult.STALLED
 
     def _write_snapshot_if_due(self):
         """Write a snapshot every ``SNAPSHOT_ENTRIES`` entries."""
@@ -495,8 +495,8 @@
     def _refuse_inbox(self):
         """Refuse the queued calls, which will not be carried out."""
         for item in [*self._deferred, *self.take_items()]:
-            if isinstance(item, batches.Called):
-                desk.refuse_call(item)
+            if isinstance(item, batches.OperatorCall):
+                operator_api.refuse_call(item)
 
     def _extra(self):
         return logs.fields(shard=self._env.shard, epoch=self.epoch)
--- a/packages/scheduler/portwharf/scheduler/ownership_test.py
+++ b/packages/scheduler/portwharf/scheduler/ownership_test.py
@@ -311,7 +311,7 @@
     made.nodes[0].owner.resign()
     made.connect_all()
     made.deliver_all()
-    asked = [node for node in made.nodes if node.guard.take_call()]
+    asked = [node for node in made.nodes if node.guard.take_takeover_request()]
     case.assertEqual(len(asked), 1)
     case.assertNotEqual(asked[0], made.nodes[0])
 
--- a/packages/scheduler/portwharf/scheduler/policy.py
+++ b/packages/scheduler/portwharf/scheduler/policy.py
@@ -36,10 +36,10 @@
 class Permit:
     """A worker that may run a step, and its ticket.
 
-    :param life: the ``data.LifeId`` that was asked about
+    :param life: the ``data.IncarnationId`` that was asked about
     """
 
-    life: data.LifeId = data.LifeId()
+    life: data.IncarnationId = data.IncarnationId()
     ticket: str = ''
 
 
@@ -47,11 +47,11 @@
     """The service that decides which workers may run which step."""
 
     @abc.abstractmethod
-    def ask(self, step, lives):
+    def query(self, step, lives):
         """Ask which of some workers may run a step.
 
         :param step: the id of the step's workload
-        :param lives: a ``data.LifeId`` for each worker
+        :param lives: a ``data.IncarnationId`` for each worker
         :returns: Ok(list of Permit), or Err(text)
         """
 
@@ -75,7 +75,7 @@
     valid_seconds: float = 0.0
 
 
-class Advisor:
+class TicketCache:
     """Queries and cached answers of one owner; a context manager."""
 
     def __init__(self, policy, clock, on_answer):
@@ -87,7 +87,7 @@
         self._clock = clock
         self._on_answer = on_answer
         self._lock = threading.Condition()
-        # Maps of LifeId to _Answer, by step.
+        # Maps of IncarnationId to _Answer, by step.
         self._answers = collections.OrderedDict()
         # Queries to send, at most one for each step.
         self._pending = collections.OrderedDict()
@@ -112,7 +112,7 @@
 
         Does nothing while another query about the step is pending.
 
-        :param lives: the workers' ``data.LifeId``, most preferred first
+        :param lives: the workers' ``data.IncarnationId``, most preferred first
         :param ticket_ms: how long the policy's tickets are valid
         """
         now = self._clock.read_monotonic()
@@ -149,7 +149,7 @@
                 return True
             query = next(iter(self._pending.values()))
         sent = self._clock.read_monotonic()
-        answer = self._policy.ask(query.step, query.lives)
+        answer = self._policy.query(query.step, query.lives)
         if answer.is_err():
             extra = logs.fields(workload=query.step)
             LOG.warning(
@@ -187,7 +187,7 @@
 def assign_tickets(advisor, demands, views):
     """Set the tickets of demands, and request the missing ones.
 
-    :param advisor: an :class:`Advisor`
+    :param advisor: an :class:`TicketCache`
     :param demands: list of ``backlog.Demand``
     :param views: list of ``vmview.VmView``
     """
--- a/packages/scheduler/portwharf/scheduler/policy_test.py
+++ b/packages/scheduler/portwharf/scheduler/policy_test.py
@@ -7,28 +7,28 @@
 from portwharf.core import clock
 from portwharf.core import data
 from portwharf.scheduler.decisions import backlog
-from portwharf.scheduler.decisions import choosing
 from portwharf.scheduler.decisions import gangs_test
 from portwharf.scheduler.decisions import placement
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler import faults_test
 from portwharf.scheduler import jobs_test
 from portwharf.scheduler import policy
 
 STEP = jobs_test.FIRST
 VALID_MS = 1000
-FIRST = data.LifeId('i-0', 1)
-SECOND = data.LifeId('i-1', 1)
+FIRST = data.IncarnationId('i-0', 1)
+SECOND = data.IncarnationId('i-1', 1)
 
 
 class FakePolicy(policy.Policy):
-    """Allows some lives and records the queries."""
+    """Allows some incarnations and records the queries."""
 
     def __init__(self, allowed):
         self.allowed = allowed
         self.queries = []
         self.down = False
 
-    def ask(self, step, lives):
+    def query(self, step, lives):
         self.queries.append(list(lives))
         if self.down:
             return result.Err('no answer')
@@ -45,7 +45,7 @@
     """Return an advisor without a thread, its policy and its clock."""
     service = FakePolicy(allowed)
     now = clock.ManualClock()
-    return policy.Advisor(service, now, lambda: None), service, now
+    return policy.TicketCache(service, now, lambda: None), service, now
 
 
 def make_demand(count=2):
@@ -55,10 +55,10 @@
 
 
 def make_views():
-    """Return two views with room, whose workers have a life id."""
+    """Return two views with room, whose workers have an incarnation id."""
     views = gangs_test.make_views(4, 4)
     for number, view in enumerate(views):
-        view.life = data.LifeId(f'i-{number}', 1)
+        view.life = data.IncarnationId(f'i-{number}', 1)
     return views
 
 
@@ -73,7 +73,7 @@
     demand, views = make_demand(), make_views()
     policy.assign_tickets(advisor, [demand], views)
     (waiting,) = place(demand, views).waiting
-    refused = waiting.choice.refusals[choosing.REFUSED_POLICY]
+    refused = waiting.choice.refusals[vm_choice.REFUSED_POLICY]
     case.assertEqual(refused, 2)
     case.assertTrue(advisor.ask_next())
     policy.assign_tickets(advisor, [demand], views)
@@ -106,8 +106,8 @@
     advisor, _, _ = open_advisor(SECOND)
     advisor.request(STEP, [SECOND], VALID_MS)
     advisor.ask_next()
-    restarted = data.LifeId(SECOND.instance, 2)
-    for life in (data.LifeId('i-2', 1), restarted):
+    restarted = data.IncarnationId(SECOND.instance, 2)
+    for life in (data.IncarnationId('i-2', 1), restarted):
         case.assertEqual(advisor.find_ticket(STEP, life), '')
 
 
@@ -123,7 +123,7 @@
 
 def test_many_workers_are_split_into_several_queries(case):
     advisor, service, _ = open_advisor()
-    lives = [data.LifeId(f'i-{number}') for number in range(40)]
+    lives = [data.IncarnationId(f'i-{number}') for number in range(40)]
     for _ in range(2):
         advisor.request(STEP, lives, VALID_MS)
         advisor.ask_next()
@@ -134,7 +134,7 @@
     faults_test.check(
         case,
         test_step_waits_for_the_policy_and_carries_its_ticket,
-        choosing,
+        vm_choice,
         '_refuse_step',
         lambda demand, view: '',
     )
--- a/packages/scheduler/portwharf/scheduler/power_loss_test.py
+++ b/packages/scheduler/portwharf/scheduler/power_loss_test.py
@@ -66,7 +66,7 @@
     def start(self):
         """Start the process, with nothing in memory."""
         world = self._world
-        self.guard = guard.Guard(world.clock, LIMITS)
+        self.guard = guard.GrantGuard(world.clock, LIMITS)
         env = environment.Environment(
             name=self.name,
             clock=world.clock,
@@ -76,12 +76,12 @@
             kv=world.kv,
             zones=zones.ZoneKeeper(world.clock),
         )
-        self.watcher = takeover.Watcher(env, self.guard, world.kv)
+        self.watcher = takeover.OwnerWatcher(env, self.guard, world.kv)
         self.watcher._start_owner = world.claims.append
 
     def poll(self):
         """Do one poll of the watcher."""
-        if self.guard.forgetful:
+        if self.guard.epoch_unknown:
             self.watcher._load_members()
         elif self.watcher._is_our_turn():
             self.watcher._take_over()
@@ -96,7 +96,7 @@
         rnd = random.Random(seed)
         vms = [fixtures.make_vm(number) for number in range(SIDES)]
         self.kv, _ = fixtures.make_store()
-        takeover.found_shard(self.kv, 0, vms[seed % SIDES].name, vms)
+        takeover.create_shard(self.kv, 0, vms[seed % SIDES].name, vms)
         self.clock = clock.ManualClock()
         self.claims = []
         start = self.clock.read_monotonic()
@@ -110,11 +110,11 @@
         side = self.sides[vm.name]
         if side.guard is None:
             raise streams.PeerError('connection refused')
-        heard = side.guard.has_heard
+        heard = side.guard.has_seen_owner
         answer = messages.OwnerAnswer(
             side.guard.epoch,
-            side.guard.hears_owner(1),
-            side.guard.forgetful,
+            side.guard.is_owner_alive(1),
+            side.guard.epoch_unknown,
             not heard,
         )
         return Conn(answer)
--- a/packages/scheduler/portwharf/scheduler/preparing.py
+++ b/packages/scheduler/portwharf/scheduler/prepared_starts.py
@@ -44,7 +44,7 @@
     seen: set = dataclasses.field(default_factory=set)
 
 
-class Preparation:
+class PreparedStarts:
     """The prepared tasks of one shard, under one owner."""
 
     def __init__(self, state):
@@ -53,7 +53,7 @@
         self._started = set()
         self._freed = {}
 
-    def choose(self, demands, views):
+    def prepare_tasks(self, demands, views):
         """Prepare waiting batch tasks on VMs that are large enough.
 
         :param demands: list of ``backlog.Demand``, in order, with what
@@ -108,7 +108,7 @@
                     resolved.append(event)
         return resolved
 
-    def note_stalled(self, vm, reports):
+    def start_in_freed_room(self, vm, reports):
         """Start prepared tasks in the room that ended attempts have freed.
 
         Called for reports that arrive while an append is stalled.
@@ -138,7 +138,7 @@
             if (task.id, task.attempt) in self._started
         ]
 
-    def note_confirmed(self):
+    def clear_freed(self):
         """Forget the freed resources, as an append was confirmed."""
         self._freed.clear()
 
--- a/packages/scheduler/portwharf/scheduler/preparing_test.py
+++ b/packages/scheduler/portwharf/scheduler/prepared_starts_test.py
@@ -32,7 +32,7 @@
     case.assertEqual(ownership_test.count_runs(made), 10)
 
 
-def test_prepared_task_is_kept_until_its_side_has_reported(case):
+def test_prepared_task_is_kept_until_its_side_reports(case):
     made = ownership_test.make_cluster(10)
     made.standin.faults.down = True
     made.run(3)
--- a/packages/scheduler/portwharf/scheduler/reconcile.py
+++ b/packages/scheduler/portwharf/scheduler/reconcile.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Verdict:
+class ReportOutcome:
     """The events, commands and acknowledgements that follow from reports.
 
     :param commands: messages for the side, to be sent after the events
@@ -46,7 +46,7 @@
     forget: list = dataclasses.field(default_factory=list)
 
 
-def judge_report(state, vm, report, verdict):
+def process_report(state, vm, report, verdict):
     """Process one report: apply its events and add its results to a verdict.
 
     :param state: the shard's state, which is changed
@@ -117,7 +117,7 @@
     )
 
 
-def make_held(state, vm, runtimes=None):
+def make_held_tasks(state, vm, runtimes=None):
     """Return the ``messages.HeldTasks`` of a VM.
 
     Prepared tasks are listed too: they may have been started while the store
--- a/packages/scheduler/portwharf/scheduler/reconcile_test.py
+++ b/packages/scheduler/portwharf/scheduler/reconcile_test.py
@@ -27,8 +27,8 @@
 def process(made, run_state, attempt=1, vm='vm-1', **fields):
     """Process one report; returns the verdict."""
     report = messages.TaskReport(TASK, attempt, run_state, **fields)
-    verdict = reconcile.Verdict()
-    reconcile.judge_report(made, vm, report, verdict)
+    verdict = reconcile.ReportOutcome()
+    reconcile.process_report(made, vm, report, verdict)
     return verdict
 
 
@@ -49,7 +49,7 @@
 
 
 def test_running_task_needs_nothing(case):
-    case.assertEqual(process(make_state(), RUNNING), reconcile.Verdict())
+    case.assertEqual(process(make_state(), RUNNING), reconcile.ReportOutcome())
 
 
 def test_running_previous_attempt_is_stopped(case):
--- a/packages/scheduler/portwharf/scheduler/rosters.py
+++ b/packages/scheduler/portwharf/scheduler/rosters.py
@@ -27,7 +27,7 @@
         self._last_seq = 0
         self._acks = {}
 
-    def note_ack(self, member, seq):
+    def record_ack(self, member, seq):
         """Record the highest roster number that a member acts by."""
         self._acks[member] = seq
 
@@ -36,7 +36,7 @@
         pending = self._pending or data.Roster()
         return messages.RosterUpdate(pending, list(self._state.rosters))
 
-    def follow(self, views, now_ms, has_lapsed):
+    def update(self, views, now_ms, has_lapsed):
         """Update the rosters after a change of where services run.
 
         :param views: list of ``vmview.VmView``
@@ -45,7 +45,7 @@
         :returns: (event or None, whether there is news to announce)
         """
         if self._pending is not None:
-            return self._conclude(now_ms, has_lapsed)
+            return self._commit_pending(now_ms, has_lapsed)
         services = list_services(self._state, views)
         last = self._state.rosters[-1] if self._state.rosters else None
         if services == (last.services if last else []):
@@ -59,7 +59,7 @@
         self._pending = data.Roster(seq, 0, services)
         return None, True
 
-    def _conclude(self, now_ms, has_lapsed):
+    def _commit_pending(self, now_ms, has_lapsed):
         """Put the pending roster in force once no side acts by the old one."""
         seq = self._pending.seq
         for name in self._state.members:
--- a/packages/scheduler/portwharf/scheduler/untold_test.py
+++ b/packages/scheduler/portwharf/scheduler/silent_sides_test.py
@@ -7,7 +7,7 @@
 The VM sent heartbeats and received grants, so it did not count as silent; its
 side never reported what it runs, so no task counted as missing. The cause was
 a registration without an answer, after which the side had no fencing token and
-could not list the tasks of its worker. ``register_test`` covers that cause;
+could not list the tasks of its worker. ``registry_test`` covers that cause;
 here are others with the same effect.
 """
 
--- a/packages/scheduler/portwharf/scheduler/steps_test.py
+++ b/packages/scheduler/portwharf/scheduler/step_placement_test.py
@@ -6,18 +6,18 @@
 from portwharf.scheduler import configuration
 from portwharf.scheduler import configuration_test
 from portwharf.scheduler.decisions import backlog
-from portwharf.scheduler.decisions import choosing
 from portwharf.scheduler.decisions import gangs_test
 from portwharf.scheduler.decisions import placement
-from portwharf.scheduler.decisions import pressure
+from portwharf.scheduler.decisions import service_protection
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import faults_test
 from portwharf.scheduler import jobs_test
 from portwharf.side import agent
 from portwharf.side import agent_test
 from portwharf.testing import cluster
-from portwharf.vmlist import register
-from portwharf.vmlist import register_test
+from portwharf.vmlist import registry
+from portwharf.vmlist import registry_test
 
 check = faults_test.check
 
@@ -71,14 +71,14 @@
     check(
         case,
         test_tasks_of_a_step_per_vm_are_limited,
-        choosing,
+        vm_choice,
         '_refuse_step',
         lambda demand, view: '',
     )
 
 
 def test_preempted_standing_task_is_caught(case):
-    original = pressure.Pressure.list_neighbours
+    original = service_protection.ServiceProtection.list_neighbours
 
     def list_all(self, vm, now):
         for task in self._state.held[vm].values():
@@ -89,7 +89,7 @@
     check(
         case,
         test_standing_task_is_never_preempted,
-        pressure.Pressure,
+        service_protection.ServiceProtection,
         'list_neighbours',
         list_all,
     )
@@ -106,9 +106,9 @@
 
 
 def test_older_configuration_revision_is_caught(case):
-    original = configuration.ConfigKeeper.offer
+    original = configuration.ConfigKeeper.update
 
-    def offer(self, revision, text):
+    def update(self, revision, text):
         self._current = configuration.Configuration()
         return original(self, revision, text)
 
@@ -116,16 +116,16 @@
         case,
         configuration_test.test_keeper_takes_only_higher_revisions,
         configuration.ConfigKeeper,
-        'offer',
-        offer,
+        'update',
+        update,
     )
 
 
 def test_token_of_a_previous_life_is_caught(case):
-    original = register.Registration.look
+    original = registry.Registration.renew
 
-    def look(self):
-        if self._lease and self._is_kept():
+    def renew(self):
+        if self._lease and self._renew_lease():
             found = self._kv.read(self._key).ok_value
             self.token = self.token or found.revision
             return True
@@ -133,8 +133,8 @@
 
     check(
         case,
-        register_test.test_token_is_never_that_of_a_former_life,
-        register.Registration,
-        'look',
-        look,
+        registry_test.test_token_is_never_that_of_a_former_life,
+        registry.Registration,
+        'renew',
+        renew,
     )
--- a/packages/scheduler/portwharf/scheduler/suspects.py
+++ b/packages/scheduler/portwharf/scheduler/suspects.py
@@ -39,10 +39,10 @@
 # A task that has run for longer did not cause its worker's crash.
 STARTUP_MS = 3000
 # From this number of crashes on, a task is held back and assessed.
-SUSPICIOUS = 2
+SUSPECT_CRASHES = 2
 # Conclusive unless a task of another job was under as many of them.
 GIVE_UP_CRASHES = 4
-MOST = 5
+MAX_CRASHES = 5
 # A quiet period is at least this long, and at least this many times the
 # longest of the recent gaps between crashes, so that no trial starts in the
 # middle of a slow series of crashes.
@@ -59,7 +59,7 @@
 RETENTION_SECONDS = 120.0
 
 
-class Verdict(enum.Enum):
+class ReportOutcome(enum.Enum):
     """How a waiting task is treated."""
 
     # It is placed like any other.
@@ -83,7 +83,7 @@
     close: bool = False
 
 
-class CrashTimes:
+class CrashHistory:
     """When workers crashed, as observed by one owner."""
 
     def __init__(self, observed_from):
@@ -107,7 +107,7 @@
         """
         return self._times.get(name, self._observed_from)
 
-    def is_calm(self, since, names=()):
+    def is_quiet(self, since, names=()):
         """Return whether no crash was reported since a time.
 
         :param names: names of crashes that are ignored
@@ -181,34 +181,34 @@
 
 
 def assess(state, task, times, is_trial, now):
-    """Return the :class:`Verdict` on a task.
+    """Return the :class:`ReportOutcome` on a task.
 
     Must be called only after every task that the latest crash ended has been
     counted.
 
     :param state: the shard's state
     :param task: a ``state.TaskRecord``
-    :param times: a :class:`CrashTimes`
+    :param times: a :class:`CrashHistory`
     :param is_trial: whether its last attempt was a trial
     """
     count = len(task.crashes)
-    if task.state != data.TaskState.WAITING or count < SUSPICIOUS:
-        return Verdict.PLACE
-    if count >= MOST or (
+    if task.state != data.TaskState.WAITING or count < SUSPECT_CRASHES:
+        return ReportOutcome.PLACE
+    if count >= MAX_CRASHES or (
         count >= GIVE_UP_CRASHES and _is_prime_suspect(state, task)
     ):
-        return Verdict.GIVE_UP
+        return ReportOutcome.GIVE_UP
     since_last = now - times.find_time(task.crashes[-1].name)
     quiet_seconds = times.measure_quiet_seconds()
     if since_last < quiet_seconds:
-        return Verdict.HOLD
+        return ReportOutcome.HOLD
     if _is_conclusive(
         task, times, is_trial, quiet_seconds
     ) and _is_prime_suspect(state, task):
-        return Verdict.GIVE_UP
-    if times.is_calm(now - quiet_seconds) or since_last >= MAX_HOLD_SECONDS:
-        return Verdict.TRY
-    return Verdict.HOLD
+        return ReportOutcome.GIVE_UP
+    if times.is_quiet(now - quiet_seconds) or since_last >= MAX_HOLD_SECONDS:
+        return ReportOutcome.TRY
+    return ReportOutcome.HOLD
 
 
 def _is_conclusive(task, times, is_trial, quiet_seconds):
@@ -226,7 +226,7 @@
     first = times.find_time(evidence[0].name)
     # A trial starts only after a quiet period of its own.
     before = MIN_QUIET_SECONDS if is_trial else quiet_seconds
-    return times.is_calm(first - before, names)
+    return times.is_quiet(first - before, names)
 
 
 def _is_prime_suspect(state, task):
@@ -234,22 +234,22 @@
 
     Only tasks that ran on the worker that crashed last are compared.
     """
-    job = find_unit(state, task)
+    job = find_failure_unit(state, task)
     last = task.crashes[-1].name
     return not any(
-        find_unit(state, other) != job
+        find_failure_unit(state, other) != job
         and _measure_suspicion(other) >= _measure_suspicion(task)
         for other in state.suspects.values()
         if any(one.name == last for one in other.crashes)
     )
 
 
-def find_unit(state, task):
+def find_failure_unit(state, task):
     """Return the id of the job or workload that fails with a task."""
-    return name_unit(state.find_workload(task.id))
+    return get_failure_unit(state.find_workload(task.id))
 
 
-def name_unit(record):
+def get_failure_unit(record):
     """Return the id of what fails together: a job, or a lone workload.
 
     :param record: a ``state.WorkloadRecord``
--- a/packages/scheduler/portwharf/scheduler/suspects_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspects_test.py
@@ -4,8 +4,8 @@
 
 from portwharf.core import data
 from portwharf.scheduler.decisions import backlog
-from portwharf.scheduler.decisions import choosing
 from portwharf.scheduler.decisions import gangs_test
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler import events
 from portwharf.scheduler import faults_test
 from portwharf.scheduler import jobs_test
@@ -14,10 +14,10 @@
 
 TASK = f'{jobs_test.FIRST}.0'
 OTHER = 'e' * 16
-HOLD = suspects.Verdict.HOLD
-TRY = suspects.Verdict.TRY
-GIVE_UP = suspects.Verdict.GIVE_UP
-PLACE = suspects.Verdict.PLACE
+HOLD = suspects.ReportOutcome.HOLD
+TRY = suspects.ReportOutcome.TRY
+GIVE_UP = suspects.ReportOutcome.GIVE_UP
+PLACE = suspects.ReportOutcome.PLACE
 
 
 class Scenario:
@@ -28,7 +28,7 @@
         step = jobs_test.make_step()
         other = data.Job(OTHER, 'plans', 1, b'', [step], 2000)
         self.state.apply(events.JobAccepted(jobs_test.NOW, other))
-        self.times = suspects.CrashTimes(0.0)
+        self.times = suspects.CrashHistory(0.0)
         self.attempt = 0
 
     def crash(self, at, vm='vm-1', ran_ms=20, tasks=(TASK,)):
@@ -156,12 +156,12 @@
     scenario = Scenario()
     scenario.crash(50.0, 'vm-1')
     scenario.crash(50.1, 'vm-2')
-    scenario.times = suspects.CrashTimes(60.0)
+    scenario.times = suspects.CrashHistory(60.0)
     case.assertIs(scenario.assess(60.5), HOLD)
     case.assertIs(scenario.assess(61.5), TRY)
 
 
-def choose(suspected, beside, choosy=True, **fields):
+def choose(suspected, beside, is_selective=True, **fields):
     """Return the VM chosen for a task; the emptier one runs a suspect.
 
     :param suspected: number of crashes of the task
@@ -174,10 +174,10 @@
     for name, value in fields.items():
         setattr(record.workload, name, value)
     demand = backlog.Demand(record)
-    demand.choosy = choosy
+    demand.is_selective = is_selective
     views = gangs_test.make_views(8, 4)
     views[0].note_suspect('another', beside)
-    choice = choosing.choose_vm(demand, views, None)
+    choice = vm_choice.choose_vm(demand, views, None)
     return choice.view.vm.name if choice.view else ''
 
 
@@ -204,7 +204,7 @@
     made.apply(events.TaskPlaced(TASK, 1, 'vm-1'))
     made.apply(events.TaskRequeued(TASK, 1, crash='vm-1/a', ran_ms=9))
     demand = backlog.Demand(made.workloads[jobs_test.FIRST])
-    demand.held = {TASK}
+    demand.held_tasks = {TASK}
     case.assertEqual(demand.tasks, [f'{jobs_test.FIRST}.1'])
 
 
@@ -212,7 +212,7 @@
     faults_test.check(
         case,
         test_two_crashes_at_the_start_are_conclusive_after_a_quiet_period,
-        suspects.CrashTimes,
+        suspects.CrashHistory,
         'measure_quiet_seconds',
         lambda self: 0.0,
     )
@@ -222,8 +222,8 @@
     faults_test.check(
         case,
         test_crash_of_another_worker_requires_a_trial,
-        suspects.CrashTimes,
-        'is_calm',
+        suspects.CrashHistory,
+        'is_quiet',
         lambda self, since, names=(): True,
     )
 
@@ -232,7 +232,7 @@
     faults_test.check(
         case,
         test_crash_of_an_unstable_worker_is_not_conclusive,
-        suspects.CrashTimes,
+        suspects.CrashHistory,
         'was_worker_stable',
         lambda self, name: True,
     )
--- a/packages/scheduler/portwharf/scheduler/takeover.py
+++ b/packages/scheduler/portwharf/scheduler/takeover.py
@@ -22,7 +22,7 @@
 from portwharf.core import logs
 from portwharf.peers import messages
 from portwharf.peers import streams
-from portwharf.scheduler.decisions import planning
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler import events
 from portwharf.scheduler import owner
 from portwharf.scheduler import shardlog
@@ -77,7 +77,7 @@
     return contents.map(lambda found: state.restore_state(found).epoch)
 
 
-def found_shard(kv, shard, name, members):
+def create_shard(kv, shard, name, members):
     """Create the log of a new shard, as its first owner.
 
     :param members: list of ``data.Vm``
@@ -136,11 +136,11 @@
     return result.Err(store.StoreError(answer.err_value.text, unknown=True))
 
 
-class Watcher:
+class OwnerWatcher:
     """Watches the owner and takes over from it; a context manager."""
 
     def __init__(self, env, guard, kv):
-        """Take an ``environment.Environment``, a ``Guard`` and the store."""
+        """Take an ``Environment``, a ``GrantGuard`` and the store."""
         self._env = env
         self._guard = guard
         self._kv = kv
@@ -177,9 +177,9 @@
                 self._stop_if_deposed()
             elif self._env.clock.read_monotonic() < self._next_attempt:
                 continue
-            elif self._guard.forgetful or not self._members:
+            elif self._guard.epoch_unknown or not self._members:
                 self._load_members()
-            elif self._guard.take_call():
+            elif self._guard.take_takeover_request():
                 self._claim()
             elif self._is_our_turn():
                 self._take_over()
@@ -222,7 +222,7 @@
             return
         self._failures = 0
         if contents.ok_value.empty:
-            self._found_shard()
+            self._create_shard()
             return
         restored = state.restore_state(contents.ok_value)
         self._members = dict(restored.members)
@@ -243,7 +243,7 @@
         )
         LOG.info('log read', extra=extra)
 
-    def _found_shard(self):
+    def _create_shard(self):
         """Create the log of a new shard, if it is our turn.
 
         Until then the caller keeps reading the log, which another side may
@@ -252,7 +252,7 @@
         listed = self._env.vmlist.read()
         if listed.is_err():
             return
-        listed_members = planning.pick_members(
+        listed_members = pass_inputs.pick_members(
             listed.ok_value, self._env.shard
         )
         names = [vm.name for vm in listed_members]
@@ -266,7 +266,7 @@
         self._guard.learn_epoch(0)
         self._members = {vm.name: vm for vm in listed_members}
         self._start_owner(
-            found_shard(
+            create_shard(
                 self._kv, self._env.shard, self._env.name, listed_members
             )
         )
@@ -279,7 +279,7 @@
         rank = order.index(self._env.name)
         limits = self._env.limits
         wait = limits.takeover + rank * limits.rank_step
-        if not self._guard.has_heard:
+        if not self._guard.has_seen_owner:
             # A live owner redials at once, even after all sides have
             # restarted.
             wait *= RESTARTED_WAIT_SHARE
@@ -290,7 +290,7 @@
 
         Only the first in line asks, so that not all sides do at the same time.
         """
-        if self._guard.has_heard:
+        if self._guard.has_seen_owner:
             return False
         names = [*self._members, self._env.name]
         order = ids.rank_by_rendezvous(str(self._env.shard), set(names))
@@ -311,7 +311,7 @@
         tally = self._query_members()
         if tally.unheard + 1 < len(self._members):
             return
-        if self._guard.epoch == epoch and not self._guard.has_heard:
+        if self._guard.epoch == epoch and not self._guard.has_seen_owner:
             self._claim()
 
     def _take_over(self):
@@ -369,7 +369,9 @@
         """Return one member's answer, or None if it gave none."""
         try:
             with self._env.dial(vm) as conn:
-                streams.greet(conn, self._make_hello(), QUERY_TIMEOUT_SECONDS)
+                streams.exchange_hellos(
+                    conn, self._make_hello(), QUERY_TIMEOUT_SECONDS
+                )
                 conn.set_idle(QUERY_TIMEOUT_SECONDS)
                 conn.send(messages.OwnerQuery(self._guard.epoch))
                 return conn.receive()
--- a/packages/scheduler/portwharf/scheduler/takeover_test.py
+++ b/packages/scheduler/portwharf/scheduler/takeover_test.py
@@ -58,9 +58,9 @@
     def __init__(self, answers):
         """Take a map of member name to answer."""
         self.kv, _ = fixtures.make_store()
-        takeover.found_shard(self.kv, 0, 'vm-00', VMS)
+        takeover.create_shard(self.kv, 0, 'vm-00', VMS)
         self.clock = clock.ManualClock()
-        self.guard = guard.Guard(self.clock, LIMITS)
+        self.guard = guard.GrantGuard(self.clock, LIMITS)
         self.conns = []
         self.answers = answers
         env = environment.Environment(
@@ -72,7 +72,7 @@
             kv=self.kv,
             zones=zones.ZoneKeeper(self.clock),
         )
-        self.watcher = takeover.Watcher(env, self.guard, self.kv)
+        self.watcher = takeover.OwnerWatcher(env, self.guard, self.kv)
         self.claims = []
         self.watcher._start_owner = self.claims.append
         self.watcher._load_members()
@@ -116,7 +116,7 @@
     """Hear the owner again after a while, then end its connection."""
     bench.clock.advance(10 * LIMITS.takeover)
     bench.guard.accept_owner(1, 'vm-00')
-    bench.guard.note_lost()
+    bench.guard.record_disconnect()
 
 
 def test_ended_connection_shortens_the_wait(case):
@@ -175,7 +175,7 @@
         """Take a map of member name to answer."""
         super().__init__(answers)
         first = ids.rank_by_rendezvous('0', [vm.name for vm in VMS])[0]
-        self.guard = guard.Guard(self.clock, LIMITS)
+        self.guard = guard.GrantGuard(self.clock, LIMITS)
         self.watcher._guard = self.guard
         self.watcher._env.name = first
         self.watcher._load_members()
--- a/packages/scheduler/portwharf/scheduler/births_test.py
+++ b/packages/scheduler/portwharf/scheduler/worker_restarts_test.py
@@ -103,7 +103,7 @@
     check_all_run_again(case, made, before)
 
 
-def test_restarts_under_one_id_count_as_separate_crashes(case):
+def test_restarts_under_one_id_are_separate_crashes(case):
     """Each of them counts for the tasks that had just started there."""
     made = cluster.Cluster(1)
     made.submit_job(jobs_test.make_job(jobs_test.make_step(1)))
--- a/packages/scheduler/portwharf/scheduler/zones.py
+++ b/packages/scheduler/portwharf/scheduler/zones.py
@@ -72,7 +72,7 @@
         """
         return self._last_read_at is not None and self._last_read_at >= since
 
-    def follow(self, call):
+    def add_listener(self, call):
         """Register a function without arguments, called after each change."""
         self._listeners.append(call)
 
@@ -81,7 +81,7 @@
         current = self._current
         return messages.ClosedZones(current.revision, sorted(current.names))
 
-    def offer(self, revision, names):
+    def update(self, revision, names):
         """Take a reading unless one of a higher revision is known."""
         names = frozenset(name[:MAX_NAME] for name in names[:MAX_ZONES])
         with self._lock:
@@ -97,7 +97,7 @@
         for call in self._listeners:
             call()
 
-    def look(self, kv):
+    def refresh(self, kv):
         """Read the keys from the store.
 
         :returns: whether the store answered
@@ -107,11 +107,11 @@
         if found.is_err():
             return False
         names = [key[len(self._prefix) :] for key in found.ok_value.keys]
-        self.offer(found.ok_value.revision, names)
+        self.update(found.ok_value.revision, names)
         self._record_read_time(requested_at)
         return True
 
-    def wait(self, kv):
+    def wait_for_change(self, kv):
         """Wait until the keys change or the watch times out.
 
         :returns: whether the store answered
@@ -122,7 +122,7 @@
         if found.is_err():
             return False
         if not found.ok_value.revision:
-            return self.look(kv)
+            return self.refresh(kv)
         self._record_unchanged(known, found.ok_value.revision, requested_at)
         return True
 
@@ -176,8 +176,8 @@
 
         :returns: whether the store answered
         """
-        answered = self._keeper.look(self._kv)
+        answered = self._keeper.refresh(self._kv)
         while answered and not self._stop.is_set():
-            if not self._keeper.wait(self._kv):
+            if not self._keeper.wait_for_change(self._kv):
                 return True
         return answered
--- a/packages/scheduler/portwharf/scheduler/zones_test.py
+++ b/packages/scheduler/portwharf/scheduler/zones_test.py
@@ -194,7 +194,7 @@
         any(isinstance(m, messages.StartTask) for m in link.pipe.to_side)
     )
     made.close_zone(CLOSED)
-    made.nodes[1].zones.look(made.nodes[1].kv)
+    made.nodes[1].zones.refresh(made.nodes[1].kv)
     made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
     made.nodes[2].worker.resize(2000)
@@ -234,12 +234,14 @@
 def test_new_owner_reads_the_zones_itself(case):
     made = make_cluster()
     node = made.nodes[2]
-    node.zones.look(node.kv)
+    node.zones.refresh(node.kv)
     made.close_zone(CLOSED)
     made.nodes[0].end_owner()
     made.time.advance(0.1)
     node.claim()
-    case.assertFalse(node.owner._members.knows_zones(node.owner.read_clock()))
+    case.assertFalse(
+        node.owner._members.has_recent_zones(node.owner.read_clock())
+    )
 
 
 def test_restarted_side_reads_the_zones_itself(case):
@@ -276,7 +278,7 @@
     made.close_zone(CLOSED)
     made.tick(0.1)
     for node in made.nodes:
-        node.zones.look(node.kv)
+        node.zones.refresh(node.kv)
     made.standin.faults.down = True
     made.run(6)
     made.finish_running()
@@ -296,7 +298,7 @@
 def test_owner_that_cannot_read_the_keys_places_nothing(case):
     made = make_cluster()
     node = made.nodes[0]
-    node.zones.look = lambda kv: False
+    node.zones.refresh = lambda kv: False
     made.run(4)
     made.submit(1)
     made.run(LONG_WAIT_SECONDS)
@@ -312,7 +314,7 @@
     owner = made.nodes[0].owner
     owner.step(owner.take_items())
     made.close_zone(CLOSED)
-    made.nodes[1].zones.look(made.nodes[1].kv)
+    made.nodes[1].zones.refresh(made.nodes[1].kv)
     made.run(2)
     made.open_zone(CLOSED)
     made.run(4)
@@ -321,32 +323,32 @@
 
 def test_later_reading_holds_whoever_made_it(case):
     keeper = zones.ZoneKeeper(clock.ManualClock())
-    keeper.offer(7, [CLOSED])
-    keeper.offer(5, [])
+    keeper.update(7, [CLOSED])
+    keeper.update(5, [])
     case.assertTrue(keeper.is_closed(CLOSED))
-    keeper.offer(8, [])
+    keeper.update(8, [])
     case.assertFalse(keeper.is_closed(CLOSED))
 
 
 def test_listeners_are_called_on_changes_only(case):
     keeper = zones.ZoneKeeper(clock.ManualClock())
     calls = []
-    keeper.follow(lambda: calls.append(keeper.read().names))
-    keeper.offer(5, [])
-    keeper.offer(6, [CLOSED])
-    keeper.offer(9, [CLOSED])
+    keeper.add_listener(lambda: calls.append(keeper.read().names))
+    keeper.update(5, [])
+    keeper.update(6, [CLOSED])
+    keeper.update(9, [CLOSED])
     case.assertEqual(calls, [frozenset((CLOSED,))])
 
 
 def test_watch_sees_created_and_deleted_keys(case):
     kv, standin = etcd_test.open_served(case)
     keeper = zones.ZoneKeeper(clock.ManualClock())
-    case.assertTrue(keeper.look(kv))
+    case.assertTrue(keeper.refresh(kv))
     standin.put(zones.PREFIX + CLOSED, b'')
-    case.assertTrue(keeper.wait(kv))
+    case.assertTrue(keeper.wait_for_change(kv))
     case.assertTrue(keeper.is_closed(CLOSED))
     standin.remove(zones.PREFIX + CLOSED)
-    case.assertTrue(keeper.wait(kv))
+    case.assertTrue(keeper.wait_for_change(kv))
     case.assertFalse(keeper.is_closed(CLOSED))
 
 
@@ -355,10 +357,10 @@
     now = clock.ManualClock()
     keeper = zones.ZoneKeeper(now)
     standin.put(zones.PREFIX + CLOSED, b'')
-    keeper.look(kv)
+    keeper.refresh(kv)
     now.advance(3.0)
     standin.faults.down = True
-    case.assertFalse(keeper.look(kv))
+    case.assertFalse(keeper.refresh(kv))
     case.assertTrue(keeper.is_closed(CLOSED))
     case.assertFalse(keeper.is_known_since(now.read_monotonic() - 1.0))
 
@@ -367,21 +369,21 @@
     kv, standin = fixtures.make_store()
     now = clock.ManualClock()
     keeper = zones.ZoneKeeper(now)
-    keeper.look(kv)
+    keeper.refresh(kv)
 
     def wait(prefix, revision, timeout):
         now.advance(5.0)
-        keeper.look(kv)
+        keeper.refresh(kv)
         return kv.list_names(prefix)
 
     slow = mock.Mock(wait_for_names=wait)
-    case.assertTrue(keeper.wait(slow))
+    case.assertTrue(keeper.wait_for_change(slow))
     case.assertTrue(keeper.is_known_since(now.read_monotonic()))
 
 
 def test_names_from_the_store_are_bounded(case):
     keeper = zones.ZoneKeeper(clock.ManualClock())
-    keeper.offer(1, ['x' * 1000] + [str(n) for n in range(5000)])
+    keeper.update(1, ['x' * 1000] + [str(n) for n in range(5000)])
     names = keeper.read().names
     case.assertEqual(len(names), zones.MAX_ZONES)
     case.assertEqual(max(len(name) for name in names), zones.MAX_NAME)
@@ -412,7 +414,7 @@
         case,
         test_new_owner_reads_the_zones_itself,
         membership.Membership,
-        'knows_zones',
+        'has_recent_zones',
         lambda self, now: True,
     )
 
--- a/packages/side/portwharf/side/admission.py
+++ b/packages/side/portwharf/side/admission.py
@@ -33,7 +33,7 @@
     :param deadline: on the side's monotonic clock, in seconds
     :param may_run: called just before the request goes to the runner; a false
         result cancels it
-    :param finish: called once with a :class:`Verdict`
+    :param finish: called once with a :class:`ReportOutcome`
     """
 
     request: str = ''
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Verdict:
+class ReportOutcome:
     """The outcome of a request at this endpoint."""
 
     outcome: int = data.Outcome.NOT_RUN
@@ -181,7 +181,7 @@
         if reason == REASON_QUEUE:
             rounds = (self._limit + self._slots) / self._slots
             retry_after_ms = int(1000 * rounds * self._mean_run_seconds / 2)
-        return Verdict(reason=reason, retry_after_ms=retry_after_ms)
+        return ReportOutcome(reason=reason, retry_after_ms=retry_after_ms)
 
     def _work(self):
         while True:
@@ -203,20 +203,22 @@
         began = self._clock.read_monotonic()
         remaining = job.deadline - began
         if job.withdrawn:
-            return Verdict(reason=REASON_WITHDRAWN)
+            return ReportOutcome(reason=REASON_WITHDRAWN)
         if remaining <= 0:
-            return Verdict(reason=REASON_DEADLINE)
+            return ReportOutcome(reason=REASON_DEADLINE)
         if job.may_run is not None and not job.may_run():
-            return Verdict(reason=REASON_CHANGED)
+            return ReportOutcome(reason=REASON_CHANGED)
         answer = self._runner.run(
             job.request, job.service, job.payload, remaining
         )
         spent = self._clock.read_monotonic() - began
         self._record_run_time(job.service, spent)
         if not answer.ran:
-            return Verdict(reason=answer.reason)
+            return ReportOutcome(reason=answer.reason)
         if not answer.whole:
-            return Verdict(data.Outcome.UNKNOWN, answer.reason)
+            return ReportOutcome(data.Outcome.UNKNOWN, answer.reason)
         if answer.failed:
-            return Verdict(data.Outcome.FAILED, answer.reason, answer.payload)
-        return Verdict(data.Outcome.ANSWERED, '', answer.payload)
+            return ReportOutcome(
+                data.Outcome.FAILED, answer.reason, answer.payload
+            )
+        return ReportOutcome(data.Outcome.ANSWERED, '', answer.payload)
--- a/packages/side/portwharf/side/agent.py
+++ b/packages/side/portwharf/side/agent.py
@@ -14,19 +14,19 @@
 import queue
 import threading
 
+from portwharf.core import bounded_cache
 from portwharf.core import data
 from portwharf.core import logs
-from portwharf.core import recent
 from portwharf.peers import messages
 from portwharf.side import checkpoints
-from portwharf.side import doubts
 from portwharf.side import leases
-from portwharf.side import losses
+from portwharf.side import loss_reporter
 from portwharf.side import pace_controller
 from portwharf.side import reports
 from portwharf.side import runtimes
-from portwharf.side import sight
 from portwharf.side import slowdowns
+from portwharf.side import unconfirmed
+from portwharf.side import worker_monitor
 from portwharf import workers
 
 LOG = logging.getLogger(__name__)
@@ -74,7 +74,7 @@
         """Initialise the agent.
 
         :param worker: the ``workers.Worker``, or None
-        :param guard: the side's ``Guard``
+        :param guard: the side's ``GrantGuard``
         :param on_change: called when the set of running services changes
         """
         self._worker = worker
@@ -87,14 +87,14 @@
         self._conn = None
         self._reported_states = {}
         # The highest refused attempt of each task, most recent last.
-        self._refused = recent.Recent(MAX_REFUSED)
+        self._refused = bounded_cache.BoundedCache(MAX_REFUSED)
         self._full_report_due = False
         self._listing = workers.Listing()
         started_at = clock.read_monotonic()
         self._leases = leases.LeaseKeeper(worker, guard, limits, started_at)
-        self._monitor = sight.Sight(worker)
-        self._unconfirmed = doubts.Doubts()
-        self._losses = losses.LossReporter(clock, self._send)
+        self._monitor = worker_monitor.WorkerMonitor(worker)
+        self._unconfirmed = unconfirmed.UnconfirmedCommands()
+        self._losses = loss_reporter.LossReporter(clock, self._send)
         self._pace_controller = pace_controller.PaceController(worker)
         self._pacer = self._pace_controller.pacer
         self._checkpoints = checkpoints.CheckpointReporter()
@@ -148,7 +148,7 @@
         """Stop following the owner of a connection that has ended."""
         if self._conn is conn:
             self._conn = None
-            self._guard.note_lost()
+            self._guard.record_disconnect()
 
     def command(self, conn, message):
         """Queue a command that arrived on a connection."""
@@ -204,7 +204,7 @@
         :param timeout: seconds to wait for a command
         """
         try:
-            self._obey(self._commands.get(timeout > 0, timeout))
+            self._execute(self._commands.get(timeout > 0, timeout))
         except queue.Empty:
             pass
         now = self._clock.read_monotonic()
@@ -213,7 +213,7 @@
             self._poll()
         self._send_heartbeat()
 
-    def _obey(self, command):
+    def _execute(self, command):
         """Carry out a command, unless its connection has ended."""
         if command is None or command.conn is not self._conn:
             return
@@ -224,7 +224,7 @@
         elif isinstance(message, messages.ForgetTasks):
             self._forget_attempts(message.tasks)
         elif isinstance(message, messages.PressUpdate):
-            self._pacer.presses.take_told(message.presses)
+            self._pacer.presses.replace_estimates(message.presses)
         elif isinstance(message, messages.HeldTasks):
             self._record_held(message)
         elif not self._monitor.knows_all:
@@ -232,7 +232,7 @@
             # side restarted. The owner sends it again after the full report,
             # which is still due.
             return
-        elif not self._guard.accepts(message.epoch):
+        elif not self._guard.accepts_epoch(message.epoch):
             self._refuse(message, REFUSED_EPOCH)
         elif isinstance(message, messages.StartTask):
             self._start(message)
@@ -266,11 +266,11 @@
             message.task, message.attempt
         ):
             return
-        started = self._unconfirmed.has_begun(message.task, message.attempt)
+        started = self._unconfirmed.has_started(message.task, message.attempt)
         if started and known is None:
             # It ran in an earlier incarnation of the worker.
             name = (message.task, message.attempt)
-            self._losses.report_gone([name], losses.GONE_UNLISTED)
+            self._losses.report_gone([name], loss_reporter.GONE_UNLISTED)
             return
         reason = self._check_start(message, known)
         if reason:
@@ -302,13 +302,15 @@
             self._runtimes.record_start(start, self._clock.read_monotonic())
             self._losses.record_start(start.task, start.attempt)
             return
-        unclear = first.is_err() or answer.ok_value == workers.REFUSED_OLD
+        unclear = (
+            first.is_err() or answer.ok_value == workers.REFUSED_ATTEMPT_OVER
+        )
         if unclear:
             self._unconfirmed.add_start(
                 start.task, start.attempt, start.resources
             )
             return
-        sound = answer.ok_value in workers.SOUND_REFUSALS
+        sound = answer.ok_value in workers.EXPECTED_REFUSALS
         self._refuse(message, answer.ok_value, at_worker=not sound)
 
     def _check_start(self, message, known):
@@ -367,7 +369,7 @@
         """
         if not isinstance(message, messages.StartTask):
             return
-        self._burn(message)
+        self._record_refusal(message)
         LOG.warning(
             'start refused: %s', reason, extra=_make_log_fields(message)
         )
@@ -380,7 +382,7 @@
         )
         self._send(messages.Reports(reports=[report]))
 
-    def _burn(self, message):
+    def _record_refusal(self, message):
         """Record that an attempt must never start."""
         attempt = max(message.attempt, self._refused.get(message.task, 0))
         self._refused.put(message.task, attempt)
@@ -397,9 +399,9 @@
         ):
             return
         if not known:
-            self._burn(message)
+            self._record_refusal(message)
             name = (message.task, message.attempt)
-            self._losses.report_gone([name], losses.GONE_UNKNOWN)
+            self._losses.report_gone([name], loss_reporter.GONE_UNKNOWN)
             return
         self._unconfirmed.add_stop(
             message.task, message.attempt, message.checkpoint
@@ -438,7 +440,7 @@
         self._losses.check_for_crash(
             previous, self._listing, self._unconfirmed.list_starts()
         )
-        self._tell_vanished(previous, losses.GONE_UNLISTED)
+        self._report_vanished(previous, loss_reporter.GONE_UNLISTED)
         self._leases.update_listing(self._listing, self._listed_at)
         self._leases.renew_or_stop()
         self._settle_unconfirmed()
@@ -459,16 +461,16 @@
             return
         previous = self._listing
         lapsed = self._leases.have_lapsed(now)
-        self._listing = sight.make_silent_listing(previous, lapsed)
-        self._tell_vanished(previous, losses.GONE_LAPSED)
+        self._listing = worker_monitor.make_silent_listing(previous, lapsed)
+        self._report_vanished(previous, loss_reporter.GONE_LAPSED)
         if lapsed:
             self._report_lapsed()
 
     def _report_lapsed(self):
         """Report the remaining attempts; no task may wait for them."""
         self._monitor.record_expiry()
-        gone = self._unconfirmed.give_up_starts()
-        self._losses.report_gone(gone, losses.GONE_LAPSED)
+        gone = self._unconfirmed.drop_starts()
+        self._losses.report_gone(gone, loss_reporter.GONE_LAPSED)
         self._report(self._full_report_due)
 
     def _report_capacity(self, previous):
@@ -490,7 +492,7 @@
         self._next_heartbeat = 0.0
         self._send_heartbeat()
 
-    def _tell_vanished(self, previous, reason):
+    def _report_vanished(self, previous, reason):
         """Report vanished attempts as gone; drop their reported state."""
         for name in self._losses.report_vanished(
             previous, self._listing, reason
@@ -502,7 +504,7 @@
         now = self._clock.read_monotonic()
         self._unconfirmed.resend_stops(self._worker, self._listing, now)
         gone = self._unconfirmed.settle_starts(self._worker, self._listing)
-        self._losses.report_gone(gone, losses.GONE_STOPPED)
+        self._losses.report_gone(gone, loss_reporter.GONE_STOPPED)
 
     def _update_services(self):
         running = frozenset(
@@ -517,7 +519,7 @@
 
     def _report(self, whole):
         """Report attempts whose state has changed, or all of them."""
-        if self._conn is None or self._guard.forgetful:
+        if self._conn is None or self._guard.epoch_unknown:
             return
         changed = []
         for attempt in self._listing.attempts:
@@ -535,7 +537,7 @@
         if self._conn is None or now < self._next_heartbeat:
             return
         self._next_heartbeat = now + self._limits.heartbeat
-        epoch = 0 if self._guard.forgetful else self._guard.epoch
+        epoch = 0 if self._guard.epoch_unknown else self._guard.epoch
         self._send(
             messages.Heartbeat(
                 int(now * _MS),
@@ -549,12 +551,12 @@
                 self._listing.pool,
                 self._listing.labels,
                 self._listing.leaves_in_ms,
-                self._pacer.take_observed(),
+                self._pacer.record_presses_observed(),
                 self._pacer.list_headrooms(),
                 self._pacer.list_paced(),
                 self._listing.rack,
                 self._listing.life.instance,
-                self._pacer.take_known(),
+                self._pacer.adopt_presses(),
                 self._checkpoints.list_due(self._listing.attempts, now),
                 self._listing.life.born_ms,
                 self._runtimes.take_estimates(),
--- a/packages/side/portwharf/side/agent_test.py
+++ b/packages/side/portwharf/side/agent_test.py
@@ -7,21 +7,21 @@
 from portwharf.scheduler import guard
 from portwharf.side import agent
 from portwharf.side import reports
-from portwharf.testing import agent_bench
+from portwharf.testing import agent_harness
 
 
 def test_granted_start_runs_and_is_reported(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.conn.take(messages.Reports)
     bench.start()
     case.assertEqual(bench.worker.calls, [('start', 'w.0', 1)])
     (message,) = bench.conn.take(messages.Reports)
-    case.assertEqual(message.reports[0].state, agent_bench.RUNNING)
+    case.assertEqual(message.reports[0].state, agent_harness.RUNNING)
 
 
 def test_exclusive_start_needs_a_grant(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.start()
     case.assertEqual(bench.worker.calls, [])
     case.assertEqual(bench.list_refused(), [agent.REFUSED_GRANT])
@@ -30,7 +30,7 @@
 
 
 def test_command_of_a_former_owner_is_refused(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start(epoch=2)
     case.assertEqual(bench.list_refused(), [agent.REFUSED_EPOCH])
@@ -38,7 +38,7 @@
 
 
 def test_command_of_an_ended_connection_is_dropped(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     former = bench.conn
     bench.conn = bench.connect()
@@ -47,7 +47,7 @@
 
 
 def test_vm_is_never_given_more_than_it_holds(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     for number in range(5):
         bench.start(f'w.{number}')
@@ -56,7 +56,7 @@
 
 
 def test_older_attempt_is_refused(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start(attempt=2)
     bench.start(attempt=1)
@@ -64,7 +64,7 @@
 
 
 def test_next_attempt_is_refused_while_one_runs(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start(attempt=1)
     bench.start(attempt=2)
@@ -72,7 +72,7 @@
 
 
 def test_start_twice_runs_once(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.start()
@@ -80,13 +80,13 @@
     case.assertEqual(bench.list_refused(), [])
 
 
-def test_leases_end_a_while_after_the_grant(case):
-    bench = agent_bench.Bench()
+def test_leases_end_after_the_grant(case):
+    bench = agent_harness.AgentHarness()
     bench.grant()
     until = (
         bench.clock.read_monotonic()
-        + agent_bench.LIMITS.guard
-        + agent_bench.LIMITS.lease
+        + agent_harness.LIMITS.guard
+        + agent_harness.LIMITS.lease
     )
     bench.start()
     bench.step(1.0)
@@ -94,20 +94,20 @@
     case.assertGreater(bench.worker.renewed, until * 1000 - 10)
 
 
-def test_without_a_grant_exclusive_tasks_are_saved_and_stopped(case):
-    bench = agent_bench.Bench()
+def test_exclusive_tasks_are_stopped_without_a_grant(case):
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.start('s.0', exclusive=False)
     renewed = bench.worker.renewed
-    bench.step(agent_bench.LIMITS.guard)
+    bench.step(agent_harness.LIMITS.guard)
     bench.step(1.0)
     case.assertEqual(bench.worker.calls[2:], [('stop', 'w.0', 1)])
     case.assertEqual(bench.worker.renewed, renewed)
 
 
 def test_new_owner_gets_a_full_report(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.conn = bench.connect()
@@ -117,10 +117,10 @@
 
 
 def test_restarted_side_finds_what_its_worker_runs(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
-    again = agent_bench.Bench()
+    again = agent_harness.AgentHarness()
     again.worker.listing = bench.worker.listing
     again.conn = again.connect()
     (message,) = again.conn.take(messages.Reports)[-1:]
@@ -131,10 +131,10 @@
 
 
 def test_restarted_side_reports_nothing_before_it_knows_the_epoch(case):
-    bench = agent_bench.Bench()
-    fresh = guard.Guard(bench.clock, agent_bench.LIMITS)
+    bench = agent_harness.AgentHarness()
+    fresh = guard.GrantGuard(bench.clock, agent_harness.LIMITS)
     bench.agent._guard = fresh
-    conn = agent_bench.FakeConn()
+    conn = agent_harness.FakeConn()
     fresh.accept_owner(3, 'vm-9')
     bench.agent.take_owner(conn)
     bench.step(1.0)
@@ -148,7 +148,7 @@
 
 
 def test_result_too_large_for_the_log_is_a_failure(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.conn.take(messages.Reports)
@@ -162,7 +162,7 @@
 
 
 def test_forgotten_attempt_is_removed_from_the_worker(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     forget = messages.ForgetTasks([messages.TaskRef('w.0', 1)])
@@ -172,7 +172,7 @@
 
 
 def test_stop_of_an_unknown_attempt_is_answered(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.conn.take(messages.Reports)
     bench.agent.command(bench.conn, messages.StopTask(3, 'w.7', 1))
     bench.step()
@@ -181,7 +181,7 @@
 
 
 def test_running_services_are_announced(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.start(
         's.0', exclusive=False, kind=data.Kind.SERVICE, workload='lens/fit'
     )
@@ -189,7 +189,7 @@
 
 
 def test_heartbeat_returns_the_owners_time(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.conn.take(messages.Heartbeat)
     bench.agent.take_grant(messages.Grant(1, 777, 3, True))
     bench.step()
@@ -199,7 +199,7 @@
 
 
 def test_invalid_grant_is_retried_with_backoff(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.agent.take_grant(messages.Grant(1, 777, 3, False))
     bench.step()
     bench.conn.take(messages.Heartbeat)
@@ -214,7 +214,7 @@
 
 
 def test_valid_grant_causes_no_early_heartbeat(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.agent.take_grant(messages.Grant(1, 777, 3, True))
     bench.step()
     bench.conn.take(messages.Heartbeat)
--- a/packages/side/portwharf/side/at_most_once.py
+++ b/packages/side/portwharf/side/at_most_once.py
@@ -21,7 +21,7 @@
 
 from portwharf.core import data
 from portwharf.core import ids
-from portwharf.scheduler import homes
+from portwharf.scheduler import request_homes
 from portwharf.side import admission
 
 # Maximum difference between the clocks of callers, sides and owners.
@@ -49,14 +49,14 @@
     """An admitted request id; ``verdict`` is None while it runs."""
 
     made_ms: int = 0
-    verdict: admission.Verdict = None
+    verdict: admission.ReportOutcome = None
 
 
 class AtMostOncePolicy:
     """Admits non-repeatable requests, each at most once."""
 
     def __init__(self, name, guard, clock):
-        """Take the VM's name, the side's ``Guard`` and a clock."""
+        """Take the VM's name, the side's ``GrantGuard`` and a clock."""
         self._name = name
         self._guard = guard
         self._clock = clock
@@ -102,7 +102,7 @@
     def admit(self, request, service, sent_before):
         """Decide on a non-repeatable request.
 
-        :returns: None if it is to run here now, else its ``Verdict``
+        :returns: None if it is to run here now, else its ``ReportOutcome``
         """
         with self._lock:
             now_ms = self._clock.read_unix_ms()
@@ -117,7 +117,7 @@
                 return _refuse(reason, sent_before)
             self._drop_expired(now_ms)
             if len(self._known) >= MAX_IDS:
-                return admission.Verdict(reason=REASON_FULL)
+                return admission.ReportOutcome(reason=REASON_FULL)
             self._known[request] = _Known(made_ms)
             return None
 
@@ -203,7 +203,7 @@
 
 
 def _is_home(roster, request, service, name):
-    return homes.find_home(roster, request, service) == name
+    return request_homes.find_home(roster, request, service) == name
 
 
 def _refuse(reason, sent_before):
@@ -214,8 +214,8 @@
     """
     if sent_before:
         return _make_unknown_verdict(reason)
-    return admission.Verdict(reason=reason)
+    return admission.ReportOutcome(reason=reason)
 
 
 def _make_unknown_verdict(reason):
-    return admission.Verdict(data.Outcome.UNKNOWN, reason)
+    return admission.ReportOutcome(data.Outcome.UNKNOWN, reason)
--- a/packages/side/portwharf/side/at_most_once_machine_test.py
+++ b/packages/side/portwharf/side/at_most_once_machine_test.py
@@ -90,7 +90,7 @@
             )
             for name in NAMES
         ]
-        event, _ = self.keeper.follow(
+        event, _ = self.keeper.update(
             views,
             self.true_clock.read_unix_ms(),
             lambda name: not self.guards[name].granted,
@@ -102,7 +102,7 @@
         """Send the rosters to a side with a grant, and take its reply."""
         if self.guards[name].granted:
             self.policies[name].take_update(self.keeper.make_update(), 1)
-            self.keeper.note_ack(name, self.policies[name].seq)
+            self.keeper.record_ack(name, self.policies[name].seq)
 
     def settle(self):
         """Let the owner and all sides agree on the rosters."""
@@ -212,7 +212,9 @@
                 self.runs[request] += 1
                 policy.record(request, at_most_once_test.ANSWERED)
             else:
-                policy.record(request, admission.Verdict(reason='changed'))
+                policy.record(
+                    request, admission.ReportOutcome(reason='changed')
+                )
         self.waiting = []
 
     @stateful.invariant()
@@ -315,7 +317,7 @@
         'pending rosters put in force at once': (
             miss_whole_change,
             rosters.RosterKeeper,
-            '_conclude',
+            '_commit_pending',
             _apply_at_once,
         ),
     }
--- a/packages/side/portwharf/side/crashes.py
+++ b/packages/side/portwharf/side/crashes.py
@@ -10,7 +10,7 @@
 
 import dataclasses
 
-from portwharf.core import recent
+from portwharf.core import bounded_cache
 
 # Attempts whose start or crash is remembered.
 MAX_ATTEMPTS = 20_000
@@ -36,10 +36,10 @@
     """Tracks the crashes of one worker; used only by the agent's thread."""
 
     def __init__(self):
-        self._starts = recent.Recent(MAX_ATTEMPTS)
-        self._crashes = recent.Recent(MAX_ATTEMPTS)
-        # The ``data.LifeId`` of the worker's incarnation at the last poll, or
-        # None, and whether it was draining.
+        self._starts = bounded_cache.BoundedCache(MAX_ATTEMPTS)
+        self._crashes = bounded_cache.BoundedCache(MAX_ATTEMPTS)
+        # The ``data.IncarnationId`` of the worker at the last poll, or None,
+        # and whether it was draining.
         self._life = None
         self._was_draining = False
 
@@ -68,7 +68,7 @@
     def record_crash(self, life, names, now):
         """Record the attempts that may have run when the worker crashed.
 
-        :param life: the ``data.LifeId`` of the crashed incarnation
+        :param life: the ``data.IncarnationId`` of the crashed incarnation
         :param names: attempts as (task, attempt)
         :returns: the crash's name
         """
--- a/packages/side/portwharf/side/crashes_test.py
+++ b/packages/side/portwharf/side/crashes_test.py
@@ -10,17 +10,17 @@
 from portwharf.peers import messages
 from portwharf.side import agent
 from portwharf.side import crashes
-from portwharf.side import losses
+from portwharf.side import loss_reporter
 from portwharf.side import reports
-from portwharf.testing import agent_bench
+from portwharf.testing import agent_harness
 from portwharf import workers
 
 # Two incarnations of the same worker.
-FIRST = data.LifeId('worker', 2)
-SECOND = data.LifeId('worker', 1)
+FIRST = data.IncarnationId('worker', 2)
+SECOND = data.IncarnationId('worker', 1)
 
 
-class CrashingWorker(agent_bench.FakeWorker):
+class CrashingWorker(agent_harness.FakeWorker):
     """A worker that can crash and return as another incarnation."""
 
     def __init__(self, now):
@@ -33,7 +33,7 @@
 
     def read_listing(self):
         listing = super().read_listing().ok_value
-        listing.life = data.LifeId() if self.absent else self.life
+        listing.life = data.IncarnationId() if self.absent else self.life
         listing.absent = self.absent
         listing.draining = self.draining
         return result.Ok(listing)
@@ -53,10 +53,14 @@
 
 def make_bench():
     """Return a bench under a grant, with a worker that can crash."""
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.worker = CrashingWorker(bench.clock)
     bench.agent = agent.Agent(
-        bench.worker, bench.guard, agent_bench.LIMITS, bench.clock, bench._note
+        bench.worker,
+        bench.guard,
+        agent_harness.LIMITS,
+        bench.clock,
+        bench._note,
     )
     bench.conn = bench.connect()
     bench.grant()
@@ -133,7 +137,7 @@
     bench.step(0.5)
     bench.worker.crash()
     bench.step(0.5)
-    reported = [('w.0', losses.GONE_UNLISTED, '', 0)]
+    reported = [('w.0', loss_reporter.GONE_UNLISTED, '', 0)]
     case.assertEqual(list_gone(bench), reported)
 
 
@@ -142,7 +146,7 @@
     bench.start()
     bench.worker.listing.attempts = []
     bench.step(0.5)
-    reported = [('w.0', losses.GONE_UNLISTED, '', 0)]
+    reported = [('w.0', loss_reporter.GONE_UNLISTED, '', 0)]
     case.assertEqual(list_gone(bench), reported)
 
 
--- a/packages/side/portwharf/side/outside.py
+++ b/packages/side/portwharf/side/external_services.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """The external services of a side: store, VM list, worker and policy.
 
-An :class:`Outside` adapts a side to the platform that it runs on.
+An :class:`ExternalServices` adapts a side to the platform that it runs on.
 """
 
 import abc
@@ -14,7 +14,7 @@
 from portwharf import workers
 
 
-class Outside(abc.ABC):
+class ExternalServices(abc.ABC):
     """Opens a side's external services, each as a context manager."""
 
     # Key of the operators' configuration, and key prefix of the closed
@@ -49,7 +49,7 @@
         return configuration.parse_configuration(text, revision)
 
 
-class SettingsOutside(Outside):
+class ConfiguredServices(ExternalServices):
     """Opens the services named in the settings of ``portwharf-side``."""
 
     def __init__(self, cfg):
@@ -59,7 +59,7 @@
     def open_store(self, clock):
         endpoint = self._cfg.store
         gateway = store.open_etcd(endpoint.address, endpoint.port)
-        return store.BudgetedStore(gateway, clock)
+        return store.RateLimitedStore(gateway, clock)
 
     def open_vm_list(self, kv):
         endpoint = self._cfg.vm_list
--- a/packages/side/portwharf/side/leases.py
+++ b/packages/side/portwharf/side/leases.py
@@ -26,7 +26,7 @@
         """Initialise the keeper.
 
         :param worker: the ``workers.Worker``
-        :param guard: the side's ``Guard``
+        :param guard: the side's ``GrantGuard``
         :param cfg: ``limits.Limits``
         :param started_at: start of this side process on the monotonic clock,
             in seconds
--- a/packages/side/portwharf/side/losses.py
+++ b/packages/side/portwharf/side/loss_reporter.py
@@ -13,7 +13,7 @@
 from portwharf.side import crashes
 from portwharf.side import metrics
 from portwharf.side import reports
-from portwharf.side import sight
+from portwharf.side import worker_monitor
 
 LOG = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
         """
         if not self._crashes.detect_crash(listing):
             return
-        vanished = sight.list_vanished(previous, listing)
+        vanished = worker_monitor.list_vanished(previous, listing)
         names = [(one.task, one.attempt) for one in vanished]
         names += unconfirmed
         now = self._clock.read_monotonic()
@@ -60,7 +60,7 @@
 
         :returns: their names, as (task, attempt)
         """
-        vanished = sight.list_vanished(previous, listing)
+        vanished = worker_monitor.list_vanished(previous, listing)
         saved = {(one.task, one.attempt): one.checkpoint for one in vanished}
         for task, attempt in saved:
             extra = logs.fields(task=task, attempt=attempt, reason=reason)
--- a/packages/side/portwharf/side/losses_test.py
+++ b/packages/side/portwharf/side/loss_reporter_test.py
@@ -7,66 +7,66 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.side import agent
-from portwharf.testing import agent_bench
+from portwharf.testing import agent_harness
 from portwharf import workers
 
 
 def test_start_without_an_answer_is_sent_again(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
-    agent_bench.lose_answers(bench, result.Err('timed out'))
+    agent_harness.lose_answers(bench, result.Err('timed out'))
     bench.start()
     case.assertEqual(bench.worker.listing.attempts[0].task, 'w.0')
-    case.assertEqual(agent_bench.list_gone(bench), [])
+    case.assertEqual(agent_harness.list_gone(bench), [])
 
 
 def test_start_that_is_never_answered_is_stopped_before_it_is_gone(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
-    agent_bench.lose_answers(bench, result.Err('lost'), result.Err('lost'))
+    agent_harness.lose_answers(bench, result.Err('lost'), result.Err('lost'))
     bench.start()
     bench.step(0.5)
     stops = [call for call in bench.worker.calls if call[0] == 'stop']
     case.assertEqual(stops, [('stop', 'w.0', 1)])
-    case.assertEqual(agent_bench.list_gone(bench), [('w.0', 1)])
+    case.assertEqual(agent_harness.list_gone(bench), [('w.0', 1)])
 
 
-def test_start_is_not_called_gone_while_its_stop_is_unanswered(case):
-    bench = agent_bench.Bench()
+def test_start_is_not_gone_while_its_stop_is_unanswered(case):
+    bench = agent_harness.AgentHarness()
     bench.grant()
-    agent_bench.lose_answers(bench, result.Err('lost'), result.Err('lost'))
+    agent_harness.lose_answers(bench, result.Err('lost'), result.Err('lost'))
     bench.worker.stop = lambda *_: result.Err('lost')
     bench.start()
     bench.step(0.5)
-    case.assertEqual(agent_bench.list_gone(bench), [])
+    case.assertEqual(agent_harness.list_gone(bench), [])
     case.assertEqual(bench.list_refused(), [])
 
 
 def test_refusal_after_a_lost_answer_is_ignored(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
-    refused = result.Ok(workers.REFUSED_ROOM)
-    agent_bench.lose_answers(bench, result.Err('lost'), refused)
+    refused = result.Ok(workers.REFUSED_CAPACITY)
+    agent_harness.lose_answers(bench, result.Err('lost'), refused)
     bench.start()
     case.assertEqual(bench.list_refused(), [])
 
 
-def test_attempt_of_a_former_life_of_the_worker_is_gone(case):
-    bench = agent_bench.Bench()
+def test_attempt_of_an_earlier_incarnation_is_gone(case):
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.conn.take(messages.Reports)
     bench.worker.listing.attempts.clear()
     bench.step(0.5)
-    case.assertEqual(agent_bench.list_gone(bench), [('w.0', 1)])
+    case.assertEqual(agent_harness.list_gone(bench), [('w.0', 1)])
     bench.start()
-    case.assertEqual(agent_bench.list_gone(bench), [('w.0', 1)])
+    case.assertEqual(agent_harness.list_gone(bench), [('w.0', 1)])
     starts = [call for call in bench.worker.calls if call[0] == 'start']
     case.assertEqual(len(starts), 1)
 
 
 def test_silent_worker_has_no_capacity(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.worker.read_listing = lambda: result.Err('silent')
     for _ in range(4):
@@ -76,7 +76,7 @@
 
 
 def test_attempts_of_a_silent_worker_are_gone_once_all_leases_lapsed(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.step(0.5)
@@ -84,25 +84,25 @@
     bench.worker.read_listing = lambda: result.Err('silent')
     for _ in range(16):
         bench.step(0.5)
-    case.assertEqual(agent_bench.list_gone(bench), [])
+    case.assertEqual(agent_harness.list_gone(bench), [])
     for _ in range(8):
         bench.step(0.5)
-    case.assertEqual(agent_bench.list_gone(bench), [('w.0', 1)])
+    case.assertEqual(agent_harness.list_gone(bench), [('w.0', 1)])
 
 
 def test_absent_worker_runs_nothing(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.conn.take(messages.Reports)
     absent = workers.Listing(absent=True)
     bench.worker.read_listing = lambda: result.Ok(absent)
     bench.step(0.5)
-    case.assertEqual(agent_bench.list_gone(bench), [('w.0', 1)])
+    case.assertEqual(agent_harness.list_gone(bench), [('w.0', 1)])
 
 
 def test_leaving_worker_takes_no_starts(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     listing = workers.Listing(1, data.Resources(4000, 4000), draining=True)
     bench.worker.read_listing = lambda: result.Ok(listing)
@@ -116,7 +116,7 @@
 
 
 def test_stop_is_resent_until_it_takes_effect(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     stop = messages.StopTask(3, 'w.0', 1, True)
@@ -135,13 +135,13 @@
     The owner starts the task elsewhere, and answers the next heartbeat with a
     grant, which must not cover the older command.
     """
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start('w.8')
     bench.start('w.9')
     bench.worker.calls = []
     answer = bench.worker.stop
-    waits = [agent_bench.LIMITS.replace_after_grant + 1.0]
+    waits = [agent_harness.LIMITS.replace_after_grant + 1.0]
 
     def stop(task, attempt, checkpoint):
         if waits:
@@ -152,7 +152,7 @@
     for task in ('w.8', 'w.9'):
         bench.agent.command(bench.conn, messages.StopTask(3, task, 1, False))
     late = messages.StartTask(
-        3, 'w.5', 1, resources=agent_bench.SIZE, exclusive=True
+        3, 'w.5', 1, resources=agent_harness.SIZE, exclusive=True
     )
     bench.agent.command(bench.conn, late)
     bench.conn.take(messages.Heartbeat)
@@ -170,7 +170,7 @@
 
     A delayed heartbeat delays the grant that it would bring.
     """
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     for number in range(4):
         bench.start(f'w.{number}')
@@ -181,17 +181,17 @@
         return result.Err('lost')
 
     bench.worker.stop = stop
-    bench.clock.advance(agent_bench.LIMITS.guard + 1.0)
+    bench.clock.advance(agent_harness.LIMITS.guard + 1.0)
     bench.agent.step()
     case.assertEqual(len(calls), 1)
 
 
 def test_unconfirmed_start_counts_as_used_capacity(case):
     """The attempt may run, so its resources count as used."""
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     lost = bench.worker.start
-    bench.worker.listing.capacity = agent_bench.SIZE
+    bench.worker.listing.capacity = agent_harness.SIZE
     bench.worker.stop = lambda *order: result.Err('silent')
     bench.worker.start = lambda start: result.Err('silent')
     bench.step(1)
@@ -203,13 +203,13 @@
 
 
 def test_changed_capacity_is_reported_at_once(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.step(1)
     bench.conn.take(messages.Heartbeat)
-    bench.worker.listing.capacity = agent_bench.SIZE
+    bench.worker.listing.capacity = agent_harness.SIZE
     bench.step(0.5)
     heartbeats = bench.conn.take(messages.Heartbeat)
     case.assertEqual(
-        [heartbeat.capacity for heartbeat in heartbeats], [agent_bench.SIZE]
+        [heartbeat.capacity for heartbeat in heartbeats], [agent_harness.SIZE]
     )
--- a/packages/side/portwharf/side/pace_controller_test.py
+++ b/packages/side/portwharf/side/pace_controller_test.py
@@ -7,7 +7,7 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.side import pace_controller
-from portwharf.testing import agent_bench
+from portwharf.testing import agent_harness
 from portwharf import workers
 
 SIZE = data.Resources(500, 400)
@@ -91,7 +91,7 @@
 
 
 def test_heartbeat_follows_held_tasks_at_once(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.conn.take(messages.Heartbeat)
     held = messages.HeldTask('s.0', 1, program='desk', target_ms=20)
     bench.worker.listing.attempts = [
@@ -104,7 +104,7 @@
 
 
 def test_new_owner_gets_known_interference_once(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     press = messages.Press('desk', 'plan', 8.0, 0.5)
     bench.agent.command(bench.conn, messages.PressUpdate([press]))
     bench.step()
--- a/packages/side/portwharf/side/pacing.py
+++ b/packages/side/portwharf/side/pacing.py
@@ -7,9 +7,9 @@
 poll of a measurement, because the owner, which hears of it a heartbeat later,
 would be too slow for load that changes within seconds.
 
-The interference of each pair of images (``decisions.presses``) tells how much
-filling work fits within the latency headroom of each serving task. The
-headroom goes first to those tasks that finish a job for the least of it
+The interference of each pair of images (``decisions.tail_interference``) tells
+how much filling work fits within the latency headroom of each serving task.
+The headroom goes first to those tasks that finish a job for the least of it
 (``decisions.precedence``). A throttle factor on all filling tasks makes up for
 interference that is not known yet.
 """
@@ -21,9 +21,9 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import precedence
-from portwharf.scheduler.decisions import presses
+from portwharf.scheduler.decisions import tail_interference
 from portwharf.side import pacing_log
-from portwharf.side import traits
+from portwharf.side import task_traits
 
 FULL = 100
 # Share of the target that tail latency is steered to. The rest absorbs load
@@ -77,8 +77,8 @@
     """Plans the CPU shares of the filling tasks on one VM."""
 
     def __init__(self):
-        self.presses = presses.Presses()
-        self._traits = traits.TraitsCache()
+        self.presses = tail_interference.TailInterferenceModel()
+        self._traits = task_traits.TraitsCache()
         # The share that each attempt was last set to, in percent; None where a
         # previous side process or an unanswered command may have set another.
         self._sent = {}
@@ -120,7 +120,7 @@
         """Record a new owner connection, whose owner may know nothing yet."""
         self._owner_informed = False
 
-    def take_known(self):
+    def adopt_presses(self):
         """Return the known interference, once for each owner connection.
 
         :returns: list of ``messages.Press``
@@ -152,19 +152,21 @@
         self._progress = {(a.task, a.attempt): a.percent for a in filling}
         capacity_milli = max(1, listing.capacity.cpu_milli)
         self._observe(serving, filling, capacity_milli, now)
-        self._pull_brake(serving, bool(filling), now)
+        self._update_throttle_factor(serving, bool(filling), now)
         self._log_state(serving, filling, now)
         used = self._sum_used(filling, capacity_milli)
         headrooms = self._compute_headrooms(serving, used)
         for one in unmeasured:
             image = self._traits.find(one).image
-            headroom = headrooms.get(image, presses.FRESH_ROOM)
-            headrooms[image] = min(presses.FRESH_ROOM, headroom)
+            headroom = headrooms.get(image, tail_interference.DEFAULT_HEADROOM)
+            headrooms[image] = min(
+                tail_interference.DEFAULT_HEADROOM, headroom
+            )
         self._record_headrooms(serving)
         wanted = self._assign_shares(
             filling, headrooms, capacity_milli, now_ms
         )
-        if self._stands_still(now):
+        if self._is_suspended(now):
             wanted = dict.fromkeys(wanted, 0)
         return self._list_changes(filling, wanted)
 
@@ -193,7 +195,7 @@
             used[image] += one.used_cpu_milli / capacity_milli
         return used
 
-    def take_observed(self):
+    def record_presses_observed(self):
         """Return the observations since the last call.
 
         :returns: list of ``messages.PressObserved``
@@ -244,7 +246,7 @@
             )
         del self._observed[:-MAX_OBSERVED]
 
-    def _pull_brake(self, serving, filled, now):
+    def _update_throttle_factor(self, serving, filled, now):
         worst = max(map(self._compute_target_ratio, serving), default=0.0)
         if worst <= _MAX_TARGET_RATIO or not filled:
             self._over_since = None
@@ -258,7 +260,7 @@
             LEAST / FULL, self._throttle_factor * _THROTTLE_BACKOFF
         )
 
-    def _stands_still(self, now):
+    def _is_suspended(self, now):
         """Tell whether all filling tasks have to be suspended."""
         since = self._over_since
         return since is not None and now - since >= SUSPEND_AFTER_SECONDS
@@ -273,7 +275,7 @@
         for one in serving:
             trait = self._traits.find(one)
             interference = sum(
-                self.presses.find(trait.image, image) * share
+                self.presses.get_press(trait.image, image) * share
                 for image, share in used.items()
             )
             margin = math.log(TARGET_SHARE * trait.target_ms / one.tail_ms)
@@ -308,13 +310,13 @@
             trait = self._traits.find(one)
             share = 1.0
             for image, headroom in left.items():
-                press = self.presses.find_cautious(image, trait.image)
+                press = self.presses.get_pacing_press(image, trait.image)
                 cost = press * trait.fill_milli / capacity_milli
                 if cost > 0:
                     share = min(share, headroom / cost)
             share = max(LEAST / FULL, share)
             for image in left:
-                press = self.presses.find_cautious(image, trait.image)
+                press = self.presses.get_pacing_press(image, trait.image)
                 cost = press * trait.fill_milli / capacity_milli
                 left[image] = max(0.0, left[image] - cost * share)
             percent = int(FULL * share * self._throttle_factor)
@@ -325,7 +327,10 @@
         """Return the sort key of a filling task: precedence, then name."""
         trait = self._traits.find(attempt)
         press = max(
-            (self.presses.find(image, trait.image) for image in headrooms),
+            (
+                self.presses.get_press(image, trait.image)
+                for image in headrooms
+            ),
             default=0.0,
         )
         weight = trait.claim.weigh(now_ms)
--- a/packages/side/portwharf/side/pacing_simulation_test.py
+++ b/packages/side/portwharf/side/pacing_simulation_test.py
@@ -73,7 +73,7 @@
             messages.Press('desk', image, press)
             for image, press in PRESSES.items()
         ]
-        self.pacer.presses.take_told(known)
+        self.pacer.presses.replace_estimates(known)
         self.jobs = []
         self._paces = {}
 
--- a/packages/side/portwharf/side/pacing_test.py
+++ b/packages/side/portwharf/side/pacing_test.py
@@ -5,7 +5,7 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.side import pacing
-from portwharf.side import traits
+from portwharf.side import task_traits
 from portwharf import workers
 
 
@@ -21,7 +21,7 @@
         messages.Press('desk', image, press)
         for image, press in presses.items()
     ]
-    pacer.presses.take_told(told)
+    pacer.presses.replace_estimates(told)
     for image in presses:
         start = messages.StartTask(task=f'{image}.0', program=image)
         start.fill_milli = 4000
@@ -56,7 +56,7 @@
     case.assertLess(changes['heavy.0'], 30)
 
 
-def test_tail_over_its_target_brakes_everything_that_fills(case):
+def test_missed_target_throttles_all_filling_tasks(case):
     pacer = make_pacer(light=0.0)
     changes = plan(pacer, make_listing(30, 'light'))
     case.assertLessEqual(changes['light.0'], 50)
@@ -104,11 +104,11 @@
     pacer = make_pacer(heavy=3.0)
     pacer.plan(make_listing(5, 'heavy', used=0), 0.0)
     pacer.plan(make_listing(10, 'heavy', used=4000), 0.6)
-    (observed,) = pacer.take_observed()
+    (observed,) = pacer.record_presses_observed()
     case.assertEqual(observed.serving, 'desk')
     case.assertAlmostEqual(observed.growth, 0.693, 3)
     case.assertEqual(observed.differences[0].share, 0.25)
-    case.assertEqual(pacer.take_observed(), [])
+    case.assertEqual(pacer.record_presses_observed(), [])
 
 
 def test_owner_gets_throttled_tasks_and_headrooms(case):
@@ -120,10 +120,10 @@
     case.assertLess(headroom.room, 0)
 
 
-def test_server_is_known_however_many_tasks_began_after_it(case):
+def test_running_server_is_not_evicted_from_the_traits_cache(case):
     pacer = make_pacer(light=0.1)
     case.assertEqual(plan(pacer, make_listing(10, 'light')), {})
-    for number in range(traits.MAX_TRAITS + 1):
+    for number in range(task_traits.MAX_TRAITS + 1):
         start = messages.StartTask(task=f'x.{number}', fill_milli=1)
         pacer.note_start(start)
     case.assertIn('light.0', plan(pacer, make_listing(30, 'light')))
@@ -150,7 +150,7 @@
     case.assertEqual(plan(pacer, make_listing(30, 'light')), {})
 
 
-def test_what_fills_stands_still_beside_a_server_that_is_late(case):
+def test_filling_tasks_are_suspended_after_a_long_target_miss(case):
     """Several tasks at the least share still interfere.
 
     Under high load a serving task was over its target for 4 s, beside eight
--- a/packages/side/portwharf/side/process.py
+++ b/packages/side/portwharf/side/process.py
@@ -8,7 +8,7 @@
 
 from portwharf.core import clock
 from portwharf.core import ids
-from portwharf.core import stops
+from portwharf.core import shutdown
 from portwharf.core import web
 from portwharf import endpoints
 from portwharf.peers import streams
@@ -20,7 +20,7 @@
 from portwharf.scheduler import zones
 from portwharf.side import admission
 from portwharf.side import agent
-from portwharf.side import outside
+from portwharf.side import external_services
 from portwharf.side import server
 
 LOG = logging.getLogger(__name__)
@@ -37,15 +37,17 @@
     def __init__(self, cfg, surroundings=None):
         """Take checked :class:`settings.SideSettings`.
 
-        :param surroundings: an ``outside.Outside``; None for the services
-            named in the settings
+        :param surroundings: an ``external_services.ExternalServices``; None
+            for the services named in the settings
         """
         self._cfg = cfg
-        self._outside = surroundings or outside.SettingsOutside(cfg)
+        self._outside = surroundings or external_services.ConfiguredServices(
+            cfg
+        )
         self._stack = contextlib.ExitStack()
         self._stopping = threading.Event()
         self._clock = clock.SystemClock()
-        self._guard = guard.Guard(self._clock, cfg.limits)
+        self._guard = guard.GrantGuard(self._clock, cfg.limits)
         self._keeper = configuration.ConfigKeeper(self._outside.parse_config)
         self._zones = zones.ZoneKeeper(self._clock, self._outside.zones_prefix)
         self._instance = ids.make_nonce()
@@ -74,7 +76,7 @@
 
     def wait(self):
         """Wait until a planned stop is requested."""
-        stops.wait_until_asked(self._stopping)
+        shutdown.wait_for_stop_request(self._stopping)
 
     def _start_parts(self):
         cfg = self._cfg
@@ -97,9 +99,9 @@
             self._start_runner(cfg.runner)
         watcher = self._make_watcher(kv, listing)
         self._server.find_owner = lambda: watcher.owner
-        self._keeper.follow(self._server.note_change)
-        self._keeper.follow(lambda: _send_config(watcher.owner))
-        self._zones.follow(lambda: _send_closed_zones(watcher.owner))
+        self._keeper.add_listener(self._server.note_change)
+        self._keeper.add_listener(lambda: _send_config(watcher.owner))
+        self._zones.add_listener(lambda: _send_closed_zones(watcher.owner))
         enter(zones.ZoneWatcher(kv, self._zones))
         context = tls.make_server_context(cfg.tls)
         enter(self._server.agent)
@@ -109,13 +111,13 @@
                 cfg.vm.address, cfg.vm.port, self._server.handle, context
             )
         )
-        pages = web.Pages(lambda: not self._guard.forgetful)
+        pages = web.Pages(lambda: not self._guard.epoch_unknown)
         enter(web.Server(cfg.vm.address, cfg.pages_port, pages, threads=1))
         enter(watcher)
         LOG.info('side ready on VM %s', cfg.vm.name)
 
     def _read_roster_seq(self):
-        return self._server.home.seq
+        return self._server.at_most_once.seq
 
     def _is_zone_closed(self):
         return self._zones.is_closed(self._cfg.vm.availability_zone)
@@ -151,7 +153,7 @@
             policy=self._open_policy(),
             zones=self._zones,
         )
-        return takeover.Watcher(env, self._guard, kv)
+        return takeover.OwnerWatcher(env, self._guard, kv)
 
     def _open_policy(self):
         service = self._outside.open_policy()
@@ -172,10 +174,10 @@
 def _send_config(role):
     """Send a new configuration to the sides, if this process is an owner."""
     if role is not None:
-        role.tell_config()
+        role.send_config()
 
 
 def _send_closed_zones(role):
     """Send the closed zones to the sides, if this process is an owner."""
     if role is not None:
-        role.tell_zones()
+        role.send_closed_zones()
--- a/packages/side/portwharf/side/server.py
+++ b/packages/side/portwharf/side/server.py
@@ -45,7 +45,7 @@
 
         :param cfg: checked ``settings.SideSettings``
         :param instance: identifies this process
-        :param guard: the side's ``Guard``
+        :param guard: the side's ``GrantGuard``
         :param keeper: the ``configuration.ConfigKeeper`` of this process
         :param zones: the ``zones.ZoneKeeper`` of this process
         """
@@ -62,7 +62,9 @@
         self._pool = concurrent.futures.ThreadPoolExecutor(
             _OPERATION_THREADS, 'operation'
         )
-        self.home = at_most_once.AtMostOncePolicy(cfg.vm.name, guard, clock)
+        self.at_most_once = at_most_once.AtMostOncePolicy(
+            cfg.vm.name, guard, clock
+        )
         self._rosters = messages.RosterUpdate()
         self.agent = None
         self.admission = None
@@ -93,7 +95,7 @@
 
     def handle(self, conn):
         """Serve a connection until it ends; for ``streams.Listener``."""
-        hello = streams.check_greeting(conn.receive())
+        hello = streams.check_hello(conn.receive())
         if hello.role == 'owner':
             self._serve_owner(conn, hello)
         elif hello.role == 'entry':
@@ -161,30 +163,34 @@
                     message.epoch, message.successor == self._cfg.vm.name
                 )
         elif isinstance(message, messages.RosterUpdate):
-            if self.home.take_update(message, hello.epoch):
+            if self.at_most_once.take_update(message, hello.epoch):
                 self._rosters = message
                 self._send_to_entries(message)
         elif isinstance(message, messages.ConfigUpdate):
-            self._keeper.offer(message.revision, message.text)
+            self._keeper.update(message.revision, message.text)
         elif isinstance(message, messages.ClosedZones):
-            self._zones.offer(message.revision, message.zones)
+            self._zones.update(message.revision, message.zones)
         elif isinstance(message, _COMMANDS):
             self.agent.command(conn, message)
         else:
-            raise streams.GarbledError(f'unexpected {type(message).__name__}')
+            raise streams.ProtocolError(
+                f'unexpected message {type(message).__name__}'
+            )
 
     def _serve_side(self, conn):
         """Answer another side's query whether this side hears the owner."""
         conn.send(self.make_hello())
         query = conn.receive()
         if not isinstance(query, messages.OwnerQuery):
-            raise streams.GarbledError(f'unexpected {type(query).__name__}')
+            raise streams.ProtocolError(
+                f'unexpected message {type(query).__name__}'
+            )
         conn.send(
             messages.OwnerAnswer(
                 self._guard.epoch,
-                self._guard.hears_owner(query.epoch),
-                self._guard.forgetful,
-                not self._guard.has_heard,
+                self._guard.is_owner_alive(query.epoch),
+                self._guard.epoch_unknown,
+                not self._guard.has_seen_owner,
             )
         )
 
@@ -220,14 +226,16 @@
             if update.revision > message.config_revision:
                 conn.send(update)
         else:
-            raise streams.GarbledError(f'unexpected {type(message).__name__}')
+            raise streams.ProtocolError(
+                f'unexpected message {type(message).__name__}'
+            )
 
     def _run_operation(self, conn, operation):
         owner = self.find_owner()
         if owner is None:
             conn.try_send(messages.OperationResult(operation.id, 'not-owner'))
             return
-        conn.try_send(owner.operate(operation))
+        conn.try_send(owner.execute_operation(operation))
 
     def submit(self, conn, message, payload, jobs):
         """Admit one complete request.
@@ -247,7 +255,7 @@
         def finish(verdict):
             jobs.pop(message.id, None)
             if not message.repeatable:
-                self.home.record(message.request, verdict)
+                self.at_most_once.record(message.request, verdict)
             self._finish(conn, message, verdict)
 
         job.finish = finish
@@ -261,16 +269,16 @@
     def _check_request(self, message, job):
         """Return the verdict of a request to be rejected, or None."""
         if not self._serves(message.service):
-            verdict = admission.Verdict(reason=admission.REASON_SERVICE)
+            verdict = admission.ReportOutcome(reason=admission.REASON_SERVICE)
             if message.sent_before:
                 verdict.outcome = data.Outcome.UNKNOWN
             return verdict
         if message.repeatable:
             return None
-        job.may_run = lambda: self.home.may_run_now(
+        job.may_run = lambda: self.at_most_once.may_run_now(
             message.request, message.service
         )
-        return self.home.admit(
+        return self.at_most_once.admit(
             message.request, message.service, message.sent_before
         )
 
--- a/packages/side/portwharf/side/settings.py
+++ b/packages/side/portwharf/side/settings.py
@@ -149,7 +149,7 @@
         store=settings.Endpoint(**values['store']),
         vm_list=settings.Endpoint(**values['vm_list']),
         append_interval=shards['count'] / shards['store_writes_per_second'],
-        tls=tls.make_files(values['tls']),
+        tls=tls.read_tls_files(values['tls']),
         log_style=values['log']['style'],
         log_level=values['log']['level'],
     )
--- a/packages/side/portwharf/side/traits.py
+++ b/packages/side/portwharf/side/task_traits.py
@@ -11,7 +11,7 @@
 
 import dataclasses
 
-from portwharf.core import recent
+from portwharf.core import bounded_cache
 from portwharf.scheduler.decisions import precedence
 
 # Tasks that are remembered, unless more of them run. A start without an answer
@@ -47,7 +47,7 @@
     """The traits of the tasks that run here or may run."""
 
     def __init__(self):
-        self._known = recent.Recent(MAX_TRAITS)
+        self._known = bounded_cache.BoundedCache(MAX_TRAITS)
         self._all_described = False
         self.unknown = []
 
@@ -78,7 +78,7 @@
         described a later attempt. The log has given it up, and it will be
         stopped.
         """
-        self._known.use(one.task for one in running)
+        self._known.set_in_use(one.task for one in running)
         self.unknown = []
         if self._all_described:
             self.unknown = [a for a in running if self._is_unknown(a)]
--- a/packages/side/portwharf/side/traits_test.py
+++ b/packages/side/portwharf/side/task_traits_test.py
@@ -72,7 +72,7 @@
     return node.worker.record[-1].attempt.task.rpartition('.')[0]
 
 
-def test_restarted_side_paces_beside_servers_begun_before(case):
+def test_restarted_side_throttles_beside_earlier_servers(case):
     deployment = make_cluster()
     node = deployment.nodes[2]
     deployment.restart_side(node)
@@ -84,7 +84,7 @@
     case.assertLessEqual(find_share(node), pacing.LEAST)
 
 
-def test_restarted_side_takes_back_a_pace_set_before(case):
+def test_restarted_side_releases_an_earlier_throttle(case):
     deployment = make_cluster()
     node = deployment.nodes[2]
     place_filling_tasks(deployment)
--- a/packages/side/portwharf/side/doubts.py
+++ b/packages/side/portwharf/side/unconfirmed.py
@@ -13,9 +13,9 @@
 
 import logging
 
+from portwharf.core import bounded_cache
 from portwharf.core import data
 from portwharf.core import logs
-from portwharf.core import recent
 
 LOG = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
 STOP_RETRY_SECONDS = 0.6
 
 
-class Doubts:
+class UnconfirmedCommands:
     """Starts and stops that the worker has not confirmed yet."""
 
     def __init__(self):
@@ -36,13 +36,13 @@
         # it, and when the stop was last sent, or None.
         self._stops = {}
         # The highest attempt of each task that may have started here.
-        self._started = recent.Recent(MAX_STARTED)
+        self._started = bounded_cache.BoundedCache(MAX_STARTED)
 
     def record_start(self, task, attempt):
         """Record that an attempt may have started here."""
         self._started.put(task, max(attempt, self._started.get(task, 0)))
 
-    def has_begun(self, task, attempt):
+    def has_started(self, task, attempt):
         """Tell whether an attempt, or a later one, may have started here."""
         return attempt <= self._started.get(task, 0)
 
@@ -82,7 +82,7 @@
             attempt)
         """
         if listing.absent:
-            return self.give_up_starts()
+            return self.drop_starts()
         self._drop_listed(listing)
         stopped = self._stop_starts(worker)
         if not stopped:
@@ -117,7 +117,7 @@
             stopped.append(name)
         return stopped
 
-    def give_up_starts(self):
+    def drop_starts(self):
         """Return and drop the unconfirmed starts, none of which can run."""
         names = sorted(self._starts)
         self._starts.clear()
--- a/packages/side/portwharf/side/doubts_test.py
+++ b/packages/side/portwharf/side/unconfirmed_test.py
@@ -9,8 +9,8 @@
 
 import result
 
-from portwharf.side import doubts
-from portwharf.testing import agent_bench
+from portwharf.side import unconfirmed
+from portwharf.testing import agent_harness
 from portwharf import workers
 
 TASKS = [f'w.{number}' for number in range(8)]
@@ -34,9 +34,9 @@
 
 
 def test_unconfirmed_starts_are_stopped_one_at_a_time(case):
-    orders, worker = doubts.Doubts(), UnresponsiveWorker()
+    orders, worker = unconfirmed.UnconfirmedCommands(), UnresponsiveWorker()
     for task in TASKS:
-        orders.add_start(task, 1, agent_bench.SIZE)
+        orders.add_start(task, 1, agent_harness.SIZE)
     seen = set()
     for _ in TASKS:
         orders.settle_starts(worker, workers.Listing())
@@ -47,17 +47,17 @@
 
 
 def test_unanswered_stops_are_resent_one_at_a_time(case):
-    orders, worker = doubts.Doubts(), UnresponsiveWorker()
-    bench = agent_bench.Bench()
+    orders, worker = unconfirmed.UnconfirmedCommands(), UnresponsiveWorker()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     listing = bench.worker.listing
     for task in TASKS:
-        start = workers.Start(task, 1, resources=agent_bench.SIZE)
+        start = workers.Start(task, 1, resources=agent_harness.SIZE)
         bench.worker.start(start)
         orders.add_stop(task, 1, True)
     seen = set()
     for number in range(2 * len(TASKS)):
-        now = number * doubts.STOP_RETRY_SECONDS
+        now = number * unconfirmed.STOP_RETRY_SECONDS
         orders.resend_stops(worker, listing, now)
         sent = worker.take()
         case.assertEqual(len(sent), 1)
--- a/packages/side/portwharf/side/sight.py
+++ b/packages/side/portwharf/side/worker_monitor.py
@@ -21,7 +21,7 @@
 SILENT_SECONDS = 0.9
 
 
-class Sight:
+class WorkerMonitor:
     """Monitors whether a worker responds; used only by the agent's thread."""
 
     def __init__(self, worker):
--- a/packages/side/portwharf/side/sight_test.py
+++ b/packages/side/portwharf/side/worker_monitor_test.py
@@ -16,10 +16,10 @@
 
 from portwharf.core import data
 from portwharf.peers import messages
-from portwharf.testing import agent_bench
+from portwharf.testing import agent_harness
 from portwharf import workers
 
-LIMITS = agent_bench.LIMITS
+LIMITS = agent_harness.LIMITS
 # By then every lease granted by the side's previous process has expired.
 LEASES_EXPIRED_SECONDS = LIMITS.replace_after_grant + 1.0
 
@@ -38,7 +38,7 @@
         bench.step(0.5)
 
 
-class RestartedBench(agent_bench.Bench):
+class RestartedBench(agent_harness.AgentHarness):
     """A side that has just started beside a silent worker."""
 
     def connect(self):
@@ -74,7 +74,7 @@
 
 def test_next_owner_gets_the_report_again(case):
     """The report that an attempt is gone may be lost with a connection."""
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     bench.start()
     bench.step(0.5)
@@ -95,7 +95,7 @@
     stop = messages.StopTask(3, 'w.0', 1, True)
     bench.agent.command(bench.conn, stop)
     bench.step()
-    case.assertEqual(agent_bench.list_gone(bench), [])
+    case.assertEqual(agent_harness.list_gone(bench), [])
 
 
 def test_start_before_the_first_listing_is_not_refused(case):
@@ -107,27 +107,27 @@
     case.assertEqual(bench.worker.calls, [])
 
 
-def test_start_that_was_never_answered_is_gone_with_its_lease(case):
-    bench = agent_bench.Bench()
+def test_unanswered_start_is_gone_with_its_lease(case):
+    bench = agent_harness.AgentHarness()
     bench.grant()
     lost = result.Err('lost')
-    agent_bench.lose_answers(bench, lost, lost)
+    agent_harness.lose_answers(bench, lost, lost)
     silence_worker(bench)
     bench.start()
     wait(bench, LIMITS.guard + LIMITS.lease - 1.0)
-    case.assertEqual(agent_bench.list_gone(bench), [])
+    case.assertEqual(agent_harness.list_gone(bench), [])
     wait(bench, 2.5)
-    case.assertEqual(agent_bench.list_gone(bench), [('w.0', 1)])
+    case.assertEqual(agent_harness.list_gone(bench), [('w.0', 1)])
 
 
 def test_start_that_was_never_answered_is_gone_with_its_worker(case):
-    bench = agent_bench.Bench()
+    bench = agent_harness.AgentHarness()
     bench.grant()
     lost = result.Err('lost')
-    agent_bench.lose_answers(bench, lost, lost)
+    agent_harness.lose_answers(bench, lost, lost)
     silence_worker(bench)
     absent = workers.Listing(absent=True)
     bench.worker.read_listing = lambda: result.Ok(absent)
     bench.start()
     bench.step(0.5)
-    case.assertEqual(agent_bench.list_gone(bench), [('w.0', 1)])
+    case.assertEqual(agent_harness.list_gone(bench), [('w.0', 1)])
--- a/packages/store/portwharf/store/__init__.py
+++ b/packages/store/portwharf/store/__init__.py
@@ -10,12 +10,12 @@
 from portwharf.store.base import Store
 from portwharf.store.base import StoreError
 from portwharf.store.base import Swap
-from portwharf.store.budget import BudgetedStore
 from portwharf.store.etcd import EtcdStore
 from portwharf.store.etcd import open_etcd
+from portwharf.store.rate_limit import RateLimitedStore
 
 __all__ = (
-    'BudgetedStore',
+    'RateLimitedStore',
     'Entry',
     'EtcdStore',
     'LeaseStore',
--- a/packages/store/portwharf/store/etcd_test.py
+++ b/packages/store/portwharf/store/etcd_test.py
@@ -5,13 +5,13 @@
 import threading
 
 from portwharf import store
+from portwharf.testing import fake_store as fakes
 from portwharf.testing import fixtures
-from portwharf.testing import kv as fakes
 
 
 def open_served(case):
     """Return a client and the fake gateway, which a real server serves."""
-    fake = fakes.StoreStandIn()
+    fake = fakes.FakeStore()
     port = fixtures.serve(case, fake, threads=8)
     case.addCleanup(fake.close)
     return case.enterContext(store.open_etcd('127.0.0.1', port)), fake
--- a/packages/store/portwharf/store/budget.py
+++ b/packages/store/portwharf/store/rate_limit.py
@@ -19,7 +19,7 @@
 MAX_WAIT_SECONDS = 3.0
 
 
-class BudgetedStore(base.LeaseStore):
+class RateLimitedStore(base.LeaseStore):
     """Limits the rate of calls to another store with a token bucket."""
 
     def __init__(self, inner, clock, rate=CALLS_PER_SECOND, burst=BURST_CALLS):
--- a/packages/store/portwharf/store/budget_test.py
+++ b/packages/store/portwharf/store/rate_limit_test.py
@@ -3,7 +3,7 @@
 """Calls over the rate limit are delayed or refused."""
 
 from portwharf.core import clock
-from portwharf.store import budget
+from portwharf.store import rate_limit
 from portwharf.testing import fixtures
 
 
@@ -11,7 +11,9 @@
     """Return a store limited to ten calls a second, its fake and clock."""
     inner, fake = fixtures.make_store()
     manual_clock = clock.ManualClock()
-    kv = budget.BudgetedStore(inner, manual_clock, rate=10.0, burst=burst)
+    kv = rate_limit.RateLimitedStore(
+        inner, manual_clock, rate=10.0, burst=burst
+    )
     kv._delay.wait = manual_clock.advance
     return kv, fake, manual_clock
 
--- a/packages/testing/portwharf/testing/agent_bench.py
+++ b/packages/testing/portwharf/testing/agent_harness.py
@@ -79,7 +79,7 @@
         return found
 
 
-class Bench:
+class AgentHarness:
     """An agent under an owner of epoch 3; the test advances its clock."""
 
     def __init__(self, worker=None):
@@ -88,7 +88,7 @@
         :param worker: None for a :class:`FakeWorker`
         """
         self.clock = clock.ManualClock()
-        self.guard = guard.Guard(self.clock, LIMITS)
+        self.guard = guard.GrantGuard(self.clock, LIMITS)
         self.guard.learn_epoch(3)
         self.worker = worker or FakeWorker(self.clock)
         self.services = []
--- a/packages/testing/portwharf/testing/bench.py
+++ b/packages/testing/portwharf/testing/bench.py
@@ -17,13 +17,13 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import interference
-from portwharf.scheduler.decisions import planning
-from portwharf.scheduler.decisions import pressure
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler.decisions import remedies
+from portwharf.scheduler.decisions import service_protection
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import events
 from portwharf.scheduler import owner
-from portwharf.scheduler import preparing
+from portwharf.scheduler import prepared_starts
 from portwharf.scheduler import shardlog
 from portwharf.scheduler import state
 from portwharf.side import settings
@@ -242,8 +242,12 @@
     for _ in range(REPETITIONS):
         views = make_views(vms, cpu_milli)
         began = time.process_time()
-        demands = planning.list_demands(shard_state, lambda workload: set(), 0)
-        planned = planning.plan(shard_state, demands, views, {}, 10**12, judge)
+        demands = pass_inputs.list_demands(
+            shard_state, lambda workload: set(), 0
+        )
+        planned = pass_inputs.plan(
+            shard_state, demands, views, {}, 10**12, judge
+        )
         min_seconds = min(min_seconds, time.process_time() - began)
     return min_seconds, len(planned.placements)
 
@@ -258,13 +262,13 @@
     views = make_views(11, 16_000)
     for view in views:
         view.reserved = view.capacity
-    demands = planning.list_demands(shard_state, lambda workload: set(), 0)
-    planned = planning.plan(shard_state, demands, views, {}, 10**12)
-    search = pressure.Pressure(shard_state, 0.0)
-    preparation = preparing.Preparation(shard_state)
+    demands = pass_inputs.list_demands(shard_state, lambda workload: set(), 0)
+    planned = pass_inputs.plan(shard_state, demands, views, {}, 10**12)
+    search = service_protection.ServiceProtection(shard_state, 0.0)
+    preparation = prepared_starts.PreparedStarts(shard_state)
     began = time.process_time()
     search.find_room(planned.ordered, views, set(), 1.0)
-    preparation.choose(planned.ordered, views)
+    preparation.prepare_tasks(planned.ordered, views)
     return time.process_time() - began
 
 
--- a/packages/testing/portwharf/testing/bench_decisions.py
+++ b/packages/testing/portwharf/testing/bench_decisions.py
@@ -87,7 +87,7 @@
         self.remedies = remedies.Remedies(model)
         self.remedies.set_weights(weights)
         if not policy.brake:
-            self.remedies.brake.take = lambda now: True
+            self.remedies.eviction_budget.take = lambda now: True
         self.peaks = remedies.Peaks()
         self.timeline = interference.Timeline()
         self.waiting = []
--- a/packages/testing/portwharf/testing/bench_requests.py
+++ b/packages/testing/portwharf/testing/bench_requests.py
@@ -26,7 +26,7 @@
 from portwharf.core import ids
 from portwharf import endpoints
 from portwharf.entry import routing
-from portwharf.entry import sides
+from portwharf.entry import side_links
 from portwharf.peers import messages
 from portwharf.side import admission
 from portwharf.testing import fixtures
@@ -65,7 +65,7 @@
         return endpoints.RunnerAnswer(whole=True, payload=payload)
 
 
-class DirectLink(sides.SideLink):
+class DirectLink(side_links.SideLink):
     """A link that passes requests to an admission queue in this process."""
 
     def __init__(self, vm, admission_queue, system_clock):
@@ -76,7 +76,7 @@
 
     def begin(self, message, payload=b''):
         """Offer a request to the admission queue; returns its exchange."""
-        exchange = sides.Exchange(self._clock.read_monotonic())
+        exchange = side_links.Exchange(self._clock.read_monotonic())
         with self._lock:
             message.id = next(self._numbers)
             self._exchanges[message.id] = exchange
--- a/packages/testing/portwharf/testing/cluster.py
+++ b/packages/testing/portwharf/testing/cluster.py
@@ -27,8 +27,8 @@
 from portwharf.side import settings
 from portwharf.testing import cluster_checks
 from portwharf.testing import cluster_fakes
+from portwharf.testing import fake_store
 from portwharf.testing import fixtures
-from portwharf.testing import kv
 
 LIMITS = limits.Limits()
 CLOCK_SPEEDS = (1.0, 1.004, 0.996, 1.002, 0.998)
@@ -62,8 +62,8 @@
         """Create the side without any state, as a process start does."""
         self.keeper = configuration.ConfigKeeper()
         self.zones = zones.ZoneKeeper(self.clock)
-        self.zones.follow(self._publish_zones)
-        self.guard = guard.Guard(self.clock, LIMITS)
+        self.zones.add_listener(self._publish_zones)
+        self.guard = guard.GrantGuard(self.clock, LIMITS)
         cfg = settings.SideSettings(vm=self.vm)
         self.server = server.SideServer(
             cfg,
@@ -76,7 +76,9 @@
         self.server.agent = agent.Agent(
             self.worker, self.guard, LIMITS, self.clock, lambda: None
         )
-        self.server.agent.read_roster_seq = lambda: self.server.home.seq
+        self.server.agent.read_roster_seq = lambda: (
+            self.server.at_most_once.seq
+        )
         self.server.agent.is_zone_closed = lambda: self.zones.is_closed(
             self.vm.availability_zone
         )
@@ -103,7 +105,7 @@
     def _publish_zones(self):
         """Have the owner, if it is here, send the zones to the sides."""
         if self.owner is not None:
-            self.owner.tell_zones()
+            self.owner.send_closed_zones()
 
     def make_env(self):
         """Return the environment of an owner on this VM."""
@@ -134,16 +136,16 @@
             is_stalled = self.owner.stalled
             items = () if is_stalled else self.owner.take_items()
             outcome = self.owner.step(items)
-            if outcome is batches.Step.DEPOSED:
+            if outcome is batches.StepResult.DEPOSED:
                 self.end_owner()
-            elif outcome is batches.Step.STALLED:
+            elif outcome is batches.StepResult.STALLED:
                 self.owner.serve_stalled()
 
     def _poll_zones(self):
         """Read the closed zones if the last reading is too old."""
         since = self.clock.read_monotonic() - ZONE_POLL_SECONDS
         if not self.zones.is_known_since(since):
-            self.zones.look(self.kv)
+            self.zones.refresh(self.kv)
 
     def end_owner(self):
         """End the owner without notice to anyone, as a crash does."""
@@ -167,7 +169,7 @@
 
     def __init__(self, size=3):
         self.time = clock.ManualClock()
-        self.standin = kv.StoreStandIn()
+        self.standin = fake_store.FakeStore()
         vms = [fixtures.make_vm(number) for number in range(size)]
         self.listing = cluster_fakes.FakeVmList(vms)
         self.nodes = [
@@ -180,13 +182,13 @@
         self.crashers = set()
         self.exhausted_jobs = set()
         self.stale_pipes = []
-        self._found_shard()
+        self._create_shard()
 
-    def _found_shard(self):
+    def _create_shard(self):
         """Found the shard with the first node as its owner."""
         first = self.nodes[0]
         member_vms = [node.vm for node in self.nodes]
-        claim = takeover.found_shard(
+        claim = takeover.create_shard(
             first.kv, 0, first.vm.name, member_vms
         ).ok_value
         first.learn()
@@ -279,7 +281,7 @@
         except streams.PeerError:
             pipe.closed = True
         answer = pipe.to_owner.popleft()
-        node.owner.note_epoch(answer.epoch)
+        node.owner.check_epoch(answer.epoch)
         if not pipe.closed:
             link.pipe = pipe
             link._conn = pipe.owner
@@ -315,7 +317,7 @@
         Workers answer again, but keep their capacity and their crashers.
         """
         self.cuts.clear()
-        self.standin.faults = kv.Faults()
+        self.standin.faults = fake_store.Faults()
         self.listing.set_leaving(set())
         for node in self.nodes:
             node.pool.cut = False
@@ -387,7 +389,7 @@
         if not owners:
             return None
         node = max(owners, key=lambda candidate: candidate.owner.epoch)
-        operator_call = batches.Called(
+        operator_call = batches.OperatorCall(
             cluster_fakes.FakeFuture(), method, arguments
         )
         self.calls.append(operator_call)
--- a/packages/testing/portwharf/testing/cluster_fakes.py
+++ b/packages/testing/portwharf/testing/cluster_fakes.py
@@ -134,13 +134,13 @@
         self.answers_crashers = True
         self.lost_answers = 0
         self._checkpoint_numbers = itertools.count(1)
-        # Each life of the worker's process has the same id, a new number and
-        # a clock that starts at 0.
+        # Each incarnation of the worker's process has the same id, a new
+        # number and a clock that starts at 0.
         self._life_numbers = itertools.count(1)
-        self._life = data.LifeId('worker', next(self._life_numbers))
+        self._life = data.IncarnationId('worker', next(self._life_numbers))
         self._life_started_at = 0.0
         self._restarts_at = 0.0
-        # The life that the side has last read a listing of.
+        # The incarnation that the side has last read a listing of.
         self._seen_life = None
         self.capacity = CAPACITY
         self._resized_at = 0.0
@@ -191,7 +191,7 @@
     def crash(self, seconds=RESTART_SECONDS):
         """End the worker's process; a new one starts after some seconds."""
         self.lose_all()
-        self._life = data.LifeId('worker', next(self._life_numbers))
+        self._life = data.IncarnationId('worker', next(self._life_numbers))
         self._until_ms = 0
         self._restarts_at = self.clock.read_monotonic() + seconds
         self._life_started_at = self._restarts_at
@@ -203,7 +203,7 @@
 
     @property
     def is_unreachable(self):
-        """Whether an order to the last seen life does not arrive."""
+        """Whether an order to the last seen incarnation does not arrive."""
         return (
             self.silent or self.is_restarting or self._seen_life != self._life
         )
@@ -231,7 +231,7 @@
         if self.silent or self.is_restarting:
             return _NO_ANSWER
         if start.life != self._life:
-            return result.Ok(workers.REFUSED_UNHEARD)
+            return result.Ok(workers.REFUSED_NO_HEARTBEAT)
         if self.broken:
             return result.Ok('worker-is-broken')
         if start.lease_until_ms and self._read_ms() >= start.lease_until_ms:
@@ -325,7 +325,7 @@
         run.end_order = next(_ORDER_NUMBERS)
 
     def _read_ms(self):
-        """Return milliseconds since the current life started, 0 before it."""
+        """Return ms since the current incarnation started, 0 before it."""
         since = self.clock.read_monotonic() - self._life_started_at
         return int(max(0.0, since) * 1000)
 
--- a/packages/testing/portwharf/testing/crash_day.py
+++ b/packages/testing/portwharf/testing/crash_day.py
@@ -21,8 +21,8 @@
 from portwharf.peers import messages
 from portwharf.scheduler import batches
 from portwharf.scheduler import crashloop
-from portwharf.scheduler.decisions import planning
-from portwharf.scheduler.decisions import presses
+from portwharf.scheduler.decisions import pass_inputs
+from portwharf.scheduler.decisions import tail_interference
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import events
 from portwharf.scheduler import reconcile
@@ -110,7 +110,7 @@
         self._with_detection = with_detection
         self._clock = clock.ManualClock(0.0)
         self._state = state.ShardState()
-        self._crash_loops = crashloop.CrashLoops(
+        self._crash_loops = crashloop.CrashLoopDetector(
             self._clock, self._state, ReachableMembers()
         )
         self._queue = []
@@ -310,14 +310,14 @@
         self._report(name, report)
 
     def _report(self, name, report):
-        verdict = reconcile.Verdict()
-        reconcile.judge_report(self._state, name, report, verdict)
+        verdict = reconcile.ReportOutcome()
+        reconcile.process_report(self._state, name, report, verdict)
         if self._with_detection:
-            self._crash_loops.take_report(name, report)
+            self._crash_loops.record_report(name, report)
 
     def _detect_crash_loops(self):
         if self._with_detection:
-            self._crash_loops.judge(
+            self._crash_loops.resolve_suspects(
                 batches.Batch(), self._apply_event, self._note_given_up
             )
 
@@ -338,23 +338,27 @@
             for task in list(self._state.suspects):
                 self._state.apply(events.TaskCleared(task))
         now_ms = self._clock.read_unix_ms()
-        demands = planning.list_demands(
+        demands = pass_inputs.list_demands(
             self._state, lambda _: frozenset(), now_ms
         )
         if not demands:
             return
-        held = self._crash_loops.list_held() if self._with_detection else ()
+        held = (
+            self._crash_loops.list_held_back() if self._with_detection else ()
+        )
         for demand in demands:
-            demand.held = held
+            demand.held_tasks = held
         views = [self._make_view(name) for name in self._runs]
         if self._with_detection:
-            self._crash_loops.mark_unsteady(views)
-        planned = planning.plan(self._state, demands, views, {}, now_ms)
+            self._crash_loops.mark_unstable(views)
+        planned = pass_inputs.plan(self._state, demands, views, {}, now_ms)
         for placed in planned.placements:
             event = events.TaskPlaced(placed.task, placed.attempt, placed.vm)
             self._state.apply(event)
             if self._with_detection:
-                self._crash_loops.note_placed(self._state.tasks[placed.task])
+                self._crash_loops.record_placement(
+                    self._state.tasks[placed.task]
+                )
             run = Run(placed.task, placed.attempt)
             self._schedule_in(START_DELAY_SECONDS, self._start, placed.vm, run)
 
@@ -363,14 +367,14 @@
         vm = data.Vm(name, availability_zone=f'zone-{number % 3}')
         view = vmview.VmView(vm, VM_CAPACITY, self._state.reserved[name])
         view.rack = f'rack-{number // VMS_PER_RACK}'
-        view.take_pairs(presses.Presses(), [])
+        view.take_pairs(tail_interference.TailInterferenceModel(), [])
         if self._known_away_until[name] > self._now:
             view.closed = 'away'
         for task in self._state.held[name].values():
             record = self._state.find_workload(task.id)
             view.count_fill(record.workload)
             if task.crashes:
-                unit = suspects.find_unit(self._state, task)
+                unit = suspects.find_failure_unit(self._state, task)
                 view.note_suspect(unit, len(task.crashes))
         return view
 
--- a/packages/testing/portwharf/testing/crash_day_test.py
+++ b/packages/testing/portwharf/testing/crash_day_test.py
@@ -38,7 +38,7 @@
         with case.subTest(kind=kind):
             tally = crash_day.Day(1, kind).run()
             case.assertEqual(tally.caught, tally.crashers)
-            case.assertLessEqual(tally.most, suspects.MOST)
+            case.assertLessEqual(tally.most, suspects.MAX_CRASHES)
 
 
 def test_detection_reduces_tasks_lost_to_crashers(case):
@@ -52,7 +52,7 @@
     faults_test.check(
         case,
         test_no_healthy_job_is_given_up_after_ordinary_crashes,
-        suspects.CrashTimes,
-        'is_calm',
+        suspects.CrashHistory,
+        'is_quiet',
         lambda self, since, names=(): True,
     )
--- a/packages/testing/portwharf/testing/demo_jobs.py
+++ b/packages/testing/portwharf/testing/demo_jobs.py
@@ -22,7 +22,7 @@
 
 
 def make_jobs():
-    """Return the jobs to submit, as ``soak_clients.Told`` values."""
+    """Return the jobs to submit, as ``soak_clients.ClientJob`` values."""
     check = [_make_step(4, 300, 200)]
     plan = [_make_step(6, 900, 1000), _make_step(2, 600, 1000, after=[0])]
     gang = [_make_step(3, 500, 1000, gang=True)]
@@ -45,7 +45,7 @@
         print(f'  {job.statuses[-1]}')
 
     def are_done():
-        return all(client.show(job)[1] == 'completed' for job in jobs)
+        return all(client.query_state(job)[1] == 'completed' for job in jobs)
 
     soak_world.wait_until(are_done, _COMPLETION_SECONDS)
     for job in jobs:
@@ -76,7 +76,7 @@
         for row in steps
     ]
     spec = json.dumps({'id': job_id, 'steps': task_specs})
-    return soak_clients.Told(job_id, spec, steps)
+    return soak_clients.ClientJob(job_id, spec, steps)
 
 
 def _print_call(world, job):
--- a/packages/testing/portwharf/testing/kv.py
+++ b/packages/testing/portwharf/testing/fake_store.py
@@ -47,7 +47,7 @@
     created: int = 0
 
 
-class StoreStandIn:
+class FakeStore:
     """The key-value service, as a WSGI application.
 
     Keys and values are kept in base64, as the protocol sends them.
--- a/packages/testing/portwharf/testing/fixtures.py
+++ b/packages/testing/portwharf/testing/fixtures.py
@@ -15,7 +15,7 @@
 from portwharf.core import web
 from portwharf import store
 from portwharf.testing import certificates
-from portwharf.testing import kv
+from portwharf.testing import fake_store
 
 
 @dataclasses.dataclass(slots=True)
@@ -73,7 +73,7 @@
 
     :param standin: None for a new one
     """
-    standin = standin or kv.StoreStandIn()
+    standin = standin or fake_store.FakeStore()
     return store.EtcdStore(WsgiPool(standin)), standin
 
 
--- a/packages/testing/portwharf/testing/overload_day.py
+++ b/packages/testing/portwharf/testing/overload_day.py
@@ -5,10 +5,10 @@
 The production code orders, places, moves and paces tasks; VMs, run times and
 clients are simulated on a virtual clock without a network. Every VM has a
 server task that tolerates a limited press, the slowdown by filling tasks
-beside it (see ``decisions.presses``). Wide jobs of filling tasks arrive
-faster than they can be completed, beside small jobs that take precedence.
-Clients' estimates of run times are inaccurate. The result is the worth of
-the jobs whose last task ended within their objective.
+beside it (see ``decisions.tail_interference``). Wide jobs of filling tasks
+arrive faster than they can be completed, beside small jobs that take
+precedence. Clients' estimates of run times are inaccurate. The result is the
+worth of the jobs whose last task ended within their objective.
 
 ``python -m portwharf.testing.overload_day`` prints results over some seeds.
 """
@@ -21,10 +21,10 @@
 from portwharf.core import data
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import forecast
-from portwharf.scheduler.decisions import planning
+from portwharf.scheduler.decisions import pass_inputs
 from portwharf.scheduler.decisions import precedence
-from portwharf.scheduler.decisions import presses
-from portwharf.scheduler.decisions import rehoming
+from portwharf.scheduler.decisions import tail_interference
+from portwharf.scheduler.decisions import task_moves
 from portwharf.scheduler.decisions import vmview
 from portwharf.scheduler import events
 from portwharf.scheduler import jobs
@@ -102,14 +102,14 @@
         self.run_times = (
             run_times if run_times is not None else forecast.RunTimes()
         )
-        self._press_model = presses.Presses()
+        self._press_model = tail_interference.TailInterferenceModel()
         self._presses = {}
         self._phases = {}
         self._runs = {}
         self._links = [_Link(f'vm-{n:02d}') for n in range(VMS)]
         self._placed_at = {}
-        self._patience = planning.Patience()
-        self._shunned = rehoming.Shunned()
+        self._patience = pass_inputs.Patience()
+        self._move_history = task_moves.MoveHistory()
         self._submitted = {}
         self._saved_seconds = {}
         self._latencies = {}
@@ -154,7 +154,7 @@
             name = f'fill-{number}'
             self._presses[name] = press
             measured.append(messages.Press('serve', name, press, 0.3))
-        self._press_model.take_told(measured)
+        self._press_model.replace_estimates(measured)
         for link in self._links:
             self._phases[link.name] = rnd.uniform(0, SWING_SECONDS)
 
@@ -241,9 +241,9 @@
         self._report(run, data.RunState.CHECKPOINTED)
 
     def _report(self, run, end):
-        verdict = reconcile.Verdict()
+        verdict = reconcile.ReportOutcome()
         report = messages.TaskReport(run.task, run.attempt, end)
-        reconcile.judge_report(self._state, run.vm, report, verdict)
+        reconcile.process_report(self._state, run.vm, report, verdict)
         job = self._state.find_workload(run.task).workload.job
         if self._state.find_job_state(job) == data.JobState.COMPLETED:
             self._latencies[job] = self.now - self._submitted[job].came
@@ -258,14 +258,16 @@
 
     def _run_pass(self):
         views = self._view_vms()
-        demands = planning.list_demands(
+        demands = pass_inputs.list_demands(
             self._state, lambda _: frozenset(), self._now_ms, self.run_times
         )
-        shunned = self._shunned.find(self.now)
+        origins = self._move_history.list_recent_origins(self.now)
         for demand in demands:
-            demand.shunned = shunned
+            demand.moved_from = origins
         self._patience.apply(demands, self.now)
-        planned = planning.plan(self._state, demands, views, {}, self._now_ms)
+        planned = pass_inputs.plan(
+            self._state, demands, views, {}, self._now_ms
+        )
         waiting = {demand.record.id: demand for demand in planned.waiting}
         self._patience.note(waiting, self.now)
         for placement in planned.placements:
@@ -328,18 +330,18 @@
 
     def _move_stuck_tasks(self):
         weigher = precedence.Weigher(self._state, self._now_ms, self.run_times)
-        stuck = rehoming.find_stuck(
+        stalled = task_moves.find_stalled_tasks(
             self._state,
             self._links,
             lambda name: self._placed_at.get(name, 0.0),
             self.now,
             weigher,
         )
-        for task in rehoming.choose_moves(stuck, self._views):
+        for task in task_moves.choose_moves(stalled, self._views):
             run = self._runs.get(task.id)
             if run is None or run.stopping:
                 continue
-            self._shunned.note(task.id, task.vm, self.now)
+            self._move_history.record_move(task.id, task.vm, self.now)
             self._state.apply(events.TaskEvicting(task.id, task.attempt))
             run.stopping = True
             run.ends_at = self.now + STOP_DELAY_SECONDS
--- a/packages/testing/portwharf/testing/gaps.py
+++ b/packages/testing/portwharf/testing/placement_gaps.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Finds long gaps between placements in the logs of programs.
 
-    python -m portwharf.testing.gaps LOG [LONGEST]
+    python -m portwharf.testing.placement_gaps LOG [LONGEST]
 
 Input lines are ``SECONDS PROCESS {...}``, as the users' bench prints them
 for ``run SITE deploy/days/DAY.toml --log side``. The output lists each gap
--- a/packages/testing/portwharf/testing/gaps_test.py
+++ b/packages/testing/portwharf/testing/placement_gaps_test.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Gaps between placements are found in logs, with ownership events."""
 
-from portwharf.testing import gaps
+from portwharf.testing import placement_gaps
 
 LOG = """\
 built in 0.4 s
@@ -15,11 +15,13 @@
 
 
 def test_gap_is_found_with_its_ownership_events(case):
-    (gap,) = gaps.find_gaps(gaps.read_lines(LOG.splitlines()))
+    (gap,) = placement_gaps.find_gaps(
+        placement_gaps.read_lines(LOG.splitlines())
+    )
     case.assertEqual((gap.began, gap.ended), (8.0, 9.3))
     case.assertEqual([line.process for line in gap.events], ['side-2'])
 
 
 def test_usual_gaps_are_skipped(case):
-    lines = gaps.read_lines(LOG.splitlines())
-    case.assertEqual(gaps.find_gaps(lines, 2.0), [])
+    lines = placement_gaps.read_lines(LOG.splitlines())
+    case.assertEqual(placement_gaps.find_gaps(lines, 2.0), [])
--- a/packages/testing/portwharf/testing/platform_runner.py
+++ b/packages/testing/portwharf/testing/platform_runner.py
@@ -4,7 +4,7 @@
 
 It runs tasks under a lease, checks fencing tokens, and lists ended runs until
 they are acknowledged. It can be restarted, under another instance id or the
-same: then only the start time tells the two lives apart. The answers to
+same: then only the start time tells the two incarnations apart. The answers to
 starts can be lost.
 """
 
@@ -18,23 +18,24 @@
 from portwharf.testing import platform_store
 from portwharf.testing import relay
 
-# Start time of the first life; each later one starts 1 ms after the last.
+# Start time of the first incarnation; each later one starts 1 ms after the
+# last.
 FIRST_BORN_MS = 1_790_000_000_000
 
 
 def serve_runner(case):
     """Serve a fake runner; a restart breaks the connections to it.
 
-    :returns: the :class:`RunnerStandIn` and its ``settings.Endpoint``
+    :returns: the :class:`FakePlatformRunner` and its ``settings.Endpoint``
     """
-    standin = RunnerStandIn()
+    standin = FakePlatformRunner()
     port = fixtures.serve(case, standin, threads=6)
     proxy = case.enterContext(relay.Relay('127.0.0.1', 0, port))
     standin.break_connections = proxy.cut
     return standin, settings.Endpoint('127.0.0.1', proxy.port)
 
 
-class RunnerStandIn:
+class FakePlatformRunner:
     """A runner, as a WSGI application.
 
     :ivar break_connections: function that closes all connections to it
@@ -42,8 +43,8 @@
     :ivar unhealthy: number of calls that are answered with 503
     :ivar orders: name and body of each order received
     :ivar ticket: ticket that a start must carry, '' for none
-    :ivar instance: instance id of the current life
-    :ivar born_ms: start time of the current life, Unix milliseconds
+    :ivar instance: instance id of the current incarnation
+    :ivar born_ms: start time of the current incarnation, Unix milliseconds
     :ivar running: map of task to run number
     :ivar ended: rows of ended runs that are not acknowledged yet
     :ivar fence: highest fencing token received
@@ -111,7 +112,7 @@
         )
         with self._lock:
             self.orders.append((order, dict(body)))
-            status, value = self._obey(order, body, target_instance)
+            status, value = self._execute(order, body, target_instance)
         value['clockMs'] = self.read_ms()
         return platform_store.answer(start_response, status, value)
 
@@ -121,10 +122,10 @@
         :returns: the status of its answer
         """
         with self._lock:
-            status, _ = self._obey(order, body, self.instance)
+            status, _ = self._execute(order, body, self.instance)
         return status
 
-    def _obey(self, order, body, target_instance):
+    def _execute(self, order, body, target_instance):
         if target_instance != self.instance:
             return 421, {}
         if self.unhealthy:
--- a/packages/testing/portwharf/testing/platform_store.py
+++ b/packages/testing/portwharf/testing/platform_store.py
@@ -33,7 +33,7 @@
     slow_seconds: float = 0.0
 
 
-class PlatformStoreStandIn:
+class FakePlatformStore:
     """The store, as a WSGI application.
 
     :ivar calls: path of each call, in order
--- a/packages/testing/portwharf/testing/relay.py
+++ b/packages/testing/portwharf/testing/relay.py
@@ -37,7 +37,7 @@
         self._to_target = threading.Event()
         self._from_target = threading.Event()
         self.silence(False)
-        # Shared by the connections accepted since the last hush().
+        # Shared by the connections accepted since the last freeze.
         self._hush_requested = threading.Event()
         self._stopped = threading.Event()
         self.refusing = False
@@ -67,7 +67,7 @@
         for sock in socks:
             _close_socket(sock)
 
-    def hush(self):
+    def freeze_connections(self):
         """Stop forwarding on open connections for good, without closing."""
         self._hush_requested.set()
         self._hush_requested = threading.Event()
--- a/packages/testing/portwharf/testing/relay_test.py
+++ b/packages/testing/portwharf/testing/relay_test.py
@@ -33,7 +33,7 @@
     client, server_end = connect()
     client.sendall(b'before')
     case.assertEqual(server_end.recv(10), b'before')
-    proxy.hush()
+    proxy.freeze_connections()
     client.sendall(b'after')
     client.close()
     new_client, new_server_end = connect()
--- a/packages/testing/portwharf/testing/runner.py
+++ b/packages/testing/portwharf/testing/runner.py
@@ -12,7 +12,7 @@
 ID_HEADER = 'X-Request-Id'
 
 
-class RunnerStandIn:
+class FakeRunner:
     """A runner, as a WSGI application.
 
     It answers 503 while all its slots are taken.
--- a/packages/testing/portwharf/testing/slopes.py
+++ b/packages/testing/portwharf/testing/slopes.py
@@ -425,7 +425,7 @@
 
 
 def _pack_message(message):
-    kind = messages.NAMES[type(message)]
+    kind = messages.KIND_BY_CLASS[type(message)]
     return msgpack.packb([kind, codec.to_map(message)])
 
 
--- a/packages/testing/portwharf/testing/soak.py
+++ b/packages/testing/portwharf/testing/soak.py
@@ -7,9 +7,9 @@
 back in one direction or both; open connections go silent for good. The store
 is down or slow, or loses answers, leases, keys or its history. Runners crash
 by themselves or because of a task, fall silent, change their capacity, carry
-out orders late, and send heartbeats of lives that are over. At the end all
-faults are healed, all jobs have to reach their final state, and the records
-of clients and runners are checked.
+out orders late, and send heartbeats of incarnations that are over. At the end
+all faults are healed, all jobs have to reach their final state, and the
+records of clients and runners are checked.
 """
 
 import argparse
@@ -215,7 +215,7 @@
         self.faults += 1
         print(f'  {time.monotonic():.1f} hush {len(programs)}', flush=True)
         for program in programs:
-            program.hush()
+            program.freeze_connections()
 
     def _shrink_runner(self):
         """At random, shrink a runner's capacity for a while."""
@@ -362,7 +362,7 @@
             long_running = any(row['longRunning'] for row in job.steps)
             unconfirmed = job.cancel_sent and job.cancelled is None
             if unconfirmed or (long_running and job.accepted):
-                client.show(job)
+                client.query_state(job)
                 client.cancel(job)
 
     def _run_checks(self):
@@ -408,7 +408,7 @@
 
 def _has_ended(client, job):
     """Return whether a job is in a final state, by a query."""
-    return client.show(job)[1] in ('completed', 'failed')
+    return client.query_state(job)[1] in ('completed', 'failed')
 
 
 def run_seed(seed, seconds, folder, network, crashers=True):
--- a/packages/testing/portwharf/testing/soak_checks.py
+++ b/packages/testing/portwharf/testing/soak_checks.py
@@ -71,7 +71,7 @@
 def check_all(jobs, spans):
     """Run all checks; returns the list of messages.
 
-    :param jobs: list of ``soak_clients.Told``
+    :param jobs: list of ``soak_clients.ClientJob``
     :param spans: list of ``soak_runner.Span``
     """
     by_id = {job.id: job for job in jobs}
--- a/packages/testing/portwharf/testing/soak_checks_test.py
+++ b/packages/testing/portwharf/testing/soak_checks_test.py
@@ -19,7 +19,7 @@
     step = {'count': 1, 'gang': False, 'longRunning': False}
     values = {'statuses': [200], 'accepted': 1.0, 'states': ['completed']}
     values |= {'steps': [step, {**step, 'watchRev': [0]}]}
-    return soak_clients.Told(JOB_ID, SPEC, **{**values, **fields})
+    return soak_clients.ClientJob(JOB_ID, SPEC, **{**values, **fields})
 
 
 def make_span(task=FIRST_TASK, began=1.0, ended=2.0, how='done', **fields):
--- a/packages/testing/portwharf/testing/soak_clients.py
+++ b/packages/testing/portwharf/testing/soak_clients.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
+class ClientJob:
     """A job as one client sees it: what was submitted, and the answers.
 
     :param hopeless: the job fails on every attempt
@@ -86,9 +86,9 @@
             if job.accepted and self._random.randrange(_SHAPES) == 0:
                 self.cancel(job)
             if self.jobs and self._random.random() < 0.5:
-                self.show(self._random.choice(self.jobs))
+                self.query_state(self._random.choice(self.jobs))
 
-    def show(self, job):
+    def query_state(self, job):
         """Query a job's state; returns the HTTP status and the state."""
         status, value = self._request('GET', soak_world.PREFIX + job.id)
         if status == 200:
@@ -210,7 +210,7 @@
         step_specs[0]['crashes'] = crashes
         job_id = f'{rnd.getrandbits(64):016x}'
         spec = json.dumps({'id': job_id, 'steps': step_specs})
-        return Told(job_id, spec, steps, shape == 3, crashes)
+        return ClientJob(job_id, spec, steps, shape == 3, crashes)
 
     def _is_crasher(self, shape):
         """Return whether a job crashes its runners; only ordinary ones do."""
--- a/packages/testing/portwharf/testing/soak_runner.py
+++ b/packages/testing/portwharf/testing/soak_runner.py
@@ -25,7 +25,7 @@
 MEMORY_MB = 8000
 HEARTBEAT_INTERVAL_SECONDS = 0.5
 _TICK_INTERVAL_SECONDS = 0.02
-# Delay of a heartbeat that arrives after the end of its life.
+# Delay of a heartbeat that arrives after the end of its incarnation.
 _LATE_HEARTBEAT_SECONDS = 1.7
 # Time after which a late start is answered with status 500; longer than a side
 # waits for an answer.
@@ -91,7 +91,7 @@
     return read_work(span.spec, span.task)
 
 
-class SoakRunner(platform_runner.RunnerStandIn):
+class SoakRunner(platform_runner.FakePlatformRunner):
     """One runner; sends heartbeats while used as a context manager."""
 
     def __init__(self, name, address, control_url, speed):
@@ -129,9 +129,9 @@
         self._stop_event.set()
 
     def crash(self):
-        """Lose all running tasks and begin a new life.
+        """Lose all running tasks and begin a new incarnation.
 
-        Every second life has the same id as the one before it.
+        Every second incarnation has the same id as the one before it.
         """
         with self._lock:
             for span in self._list_running():
--- a/packages/testing/portwharf/testing/soak_targets.py
+++ b/packages/testing/portwharf/testing/soak_targets.py
@@ -30,7 +30,7 @@
     """Submit a job with a server or filling task for each runner.
 
     :param fills: make filling tasks, not servers
-    :returns: the ``soak_clients.Told`` of the job
+    :returns: the ``soak_clients.ClientJob`` of the job
     """
     step_spec = {'ms': _FILL_MS, 'memory': 100, 'lasts': not fills}
     step = {
@@ -49,7 +49,7 @@
         step['target_ms'] = soak_pressure.TARGET_MS
     job_id = f'{job_number:016x}'
     spec = json.dumps({'id': job_id, 'steps': [step_spec]})
-    job = soak_clients.Told(job_id, spec, [step])
+    job = soak_clients.ClientJob(job_id, spec, [step])
     client.jobs.append(job)
     client.submit(job)
     return job
--- a/packages/testing/portwharf/testing/soak_world.py
+++ b/packages/testing/portwharf/testing/soak_world.py
@@ -73,11 +73,11 @@
     orders: relay.Relay = None
     runner: soak_runner.SoakRunner = None
 
-    def hush(self):
+    def freeze_connections(self):
         """Silence all open connections for good, without closing them."""
         for open_relay in (self.store, self.peers, self.orders):
             if open_relay is not None:
-                open_relay.hush()
+                open_relay.freeze_connections()
 
 
 class World:
@@ -91,7 +91,7 @@
         self._folder = pathlib.Path(folder)
         self._network = network
         self._stack = contextlib.ExitStack()
-        self.store = platform_store.PlatformStoreStandIn()
+        self.store = platform_store.FakePlatformStore()
         self.store.rewrite = self._replace_port
         self.programs = {}
 
--- a/packages/testing/portwharf/testing/standins.py
+++ b/packages/testing/portwharf/testing/standins.py
@@ -15,7 +15,7 @@
 from portwharf.core import codec
 from portwharf.core import data
 from portwharf.core import web
-from portwharf.testing import kv
+from portwharf.testing import fake_store
 from portwharf.testing import runner
 from portwharf.testing import vms
 from portwharf.testing import worker
@@ -29,13 +29,13 @@
     """Serve the store and the VM list until a signal stops the process."""
     initial_vms = [codec.from_map(data.Vm, row) for row in spec['vms']]
     with contextlib.ExitStack() as stack:
-        store = kv.StoreStandIn()
+        store = fake_store.FakeStore()
         _start_server(stack, spec['store'], store, _STORE_THREADS)
         stack.callback(store.close)
         _start_server(
             stack,
             spec['vm_list'],
-            vms.VmListStandIn(initial_vms),
+            vms.FakeVmListService(initial_vms),
             _LIST_THREADS,
         )
         _wait_for_stop()
@@ -45,9 +45,11 @@
     """Serve a worker and a runner until a signal stops the process."""
     capacity = data.Resources(**spec['capacity'])
     with contextlib.ExitStack() as stack:
-        _start_server(stack, spec['worker'], worker.WorkerStandIn(capacity), 4)
         _start_server(
-            stack, spec['runner'], runner.RunnerStandIn(), _RUNNER_THREADS
+            stack, spec['worker'], worker.FakeWorkerService(capacity), 4
+        )
+        _start_server(
+            stack, spec['runner'], runner.FakeRunner(), _RUNNER_THREADS
         )
         _wait_for_stop()
 
--- a/packages/testing/portwharf/testing/vms.py
+++ b/packages/testing/portwharf/testing/vms.py
@@ -7,7 +7,7 @@
 from portwharf.core import web
 
 
-class VmListStandIn:
+class FakeVmListService:
     """The VM list service, as a WSGI application.
 
     :ivar vms: map of VM name to ``data.Vm``; ``/control`` adds or replaces
--- a/packages/testing/portwharf/testing/worker.py
+++ b/packages/testing/portwharf/testing/worker.py
@@ -131,7 +131,7 @@
         return data.RunState.GONE, 'stopped or lapsed'
 
 
-class WorkerStandIn:
+class FakeWorkerService:
     """A worker, as a WSGI application.
 
     :ivar spans: the :class:`Span` of each attempt, by start
--- a/packages/vmlist/portwharf/vmlist/__init__.py
+++ b/packages/vmlist/portwharf/vmlist/__init__.py
@@ -4,8 +4,8 @@
 
 from portwharf.vmlist.base import VmList
 from portwharf.vmlist.http import HttpVmList
-from portwharf.vmlist.register import PREFIX
-from portwharf.vmlist.register import Registration
-from portwharf.vmlist.register import Registry
+from portwharf.vmlist.registry import PREFIX
+from portwharf.vmlist.registry import Registration
+from portwharf.vmlist.registry import Registry
 
 __all__ = ('PREFIX', 'HttpVmList', 'Registration', 'Registry', 'VmList')
--- a/packages/vmlist/portwharf/vmlist/http_test.py
+++ b/packages/vmlist/portwharf/vmlist/http_test.py
@@ -9,7 +9,7 @@
 
 def test_all_vms_are_read_and_an_outage_is_an_error(case):
     listed = [fixtures.make_vm(1), fixtures.make_vm(2, state='leaving')]
-    fake = vms.VmListStandIn(listed)
+    fake = vms.FakeVmListService(listed)
     port = fixtures.serve(case, fake)
     client = case.enterContext(vmlist.HttpVmList('127.0.0.1', port))
     case.assertEqual(client.read().ok_value, listed)
--- a/packages/vmlist/portwharf/vmlist/register.py
+++ b/packages/vmlist/portwharf/vmlist/registry.py
@@ -17,12 +17,12 @@
 
 import result
 
+from portwharf.core import bounded_cache
 from portwharf.core import clock
 from portwharf.core import codec
 from portwharf.core import data
 from portwharf.core import ids
 from portwharf.core import logs
-from portwharf.core import recent
 from portwharf import store
 from portwharf.vmlist import base
 from portwharf.vmlist import metrics
@@ -49,7 +49,9 @@
         """Create a reader of the registry in a ``store.Store``."""
         self._kv = kv
         # Revisions of unreadable entries by key, to log each of them once.
-        self._skipped_revisions = recent.Recent(MAX_SKIPPED_REVISIONS)
+        self._skipped_revisions = bounded_cache.BoundedCache(
+            MAX_SKIPPED_REVISIONS
+        )
 
     def read(self):
         last = store.find_prefix_end(PREFIX)
@@ -114,12 +116,12 @@
     def __exit__(self, *exc_info):
         self._stop.set()
 
-    def look(self):
+    def renew(self):
         """Renew the lease, and write the key again if it was deleted.
 
         :returns: whether the VM is registered
         """
-        if self._key_exists and self._is_kept():
+        if self._key_exists and self._renew_lease():
             return True
         if self._key_exists:
             LOG.warning('registration lost', extra=logs.fields(vm=self._key))
@@ -160,7 +162,7 @@
         is_own = stored.instance == self._vm.instance
         return found.ok_value.revision if is_own else 0
 
-    def _is_kept(self):
+    def _renew_lease(self):
         """Renew the lease and return whether lease and key still exist.
 
         Both are assumed to exist while the store does not answer.
@@ -187,7 +189,7 @@
                 LOG.warning('machine was suspended', extra=extra)
             wait_seconds = (
                 RENEWAL_INTERVAL_SECONDS
-                if self.look()
+                if self.renew()
                 else _RETRY_INTERVAL_SECONDS
             )
             self._stop.wait(wait_seconds)
--- a/packages/workers/portwharf/workers/base.py
+++ b/packages/workers/portwharf/workers/base.py
@@ -12,28 +12,28 @@
 
 from portwharf.core import data
 
-# Reasons for a refusal. Those in SOUND_REFUSALS do not count as a failure of
-# the worker.
-REFUSED_ROOM = 'no-room-at-the-worker'
-REFUSED_LATE = 'lease-over-at-the-worker'
+# Reasons for a refusal. Those in EXPECTED_REFUSALS do not count as a failure
+# of the worker.
+REFUSED_CAPACITY = 'no-room-at-the-worker'
+REFUSED_LEASE_EXPIRED = 'lease-over-at-the-worker'
 REFUSED_FENCE = 'newer-side-at-the-worker'
 REFUSED_TICKET = 'ticket-not-valid-at-the-worker'
 REFUSED_LEAVING = 'the-worker-is-leaving'
-REFUSED_UNHEARD = 'not-heard-of-the-worker-yet'
-REFUSED_UNREACHED = 'the-worker-is-not-reached'
-SOUND_REFUSALS = frozenset(
+REFUSED_NO_HEARTBEAT = 'not-heard-of-the-worker-yet'
+REFUSED_UNREACHABLE = 'the-worker-is-not-reached'
+EXPECTED_REFUSALS = frozenset(
     (
-        REFUSED_ROOM,
-        REFUSED_LATE,
+        REFUSED_CAPACITY,
+        REFUSED_LEASE_EXPIRED,
         REFUSED_FENCE,
         REFUSED_TICKET,
         REFUSED_LEAVING,
-        REFUSED_UNHEARD,
-        REFUSED_UNREACHED,
+        REFUSED_NO_HEARTBEAT,
+        REFUSED_UNREACHABLE,
     )
 )
 # This attempt or a later one has already ended or been stopped there.
-REFUSED_OLD = 'attempt-is-over-at-the-worker'
+REFUSED_ATTEMPT_OVER = 'attempt-is-over-at-the-worker'
 
 
 @dataclasses.dataclass(slots=True)
@@ -61,7 +61,7 @@
         default_factory=data.Resources
     )
     ticket: str = ''
-    life: data.LifeId = data.LifeId()
+    life: data.IncarnationId = data.IncarnationId()
 
 
 @dataclasses.dataclass(slots=True)
@@ -119,7 +119,7 @@
     draining: bool = False
     leaves_in_ms: int = 0
     absent: bool = False
-    life: data.LifeId = data.LifeId()
+    life: data.IncarnationId = data.IncarnationId()
     rack: str = ''
 
 
--- a/packages/workers/portwharf/workers/http_test.py
+++ b/packages/workers/portwharf/workers/http_test.py
@@ -18,7 +18,7 @@
 
 def open_worker(case):
     """Return a client and the fake worker that it is connected to."""
-    fake = worker.WorkerStandIn(CAPACITY)
+    fake = worker.FakeWorkerService(CAPACITY)
     case.addCleanup(fake.close)
     port = fixtures.serve(case, fake)
     client = case.enterContext(workers.HttpWorker('127.0.0.1', port))
--- a/packages/workers/portwharf/workers/lives.py
+++ b/packages/workers/portwharf/workers/incarnations.py
@@ -18,10 +18,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Life:
+class Incarnation:
     """An incarnation of a worker, as described by its last heartbeat.
 
-    :param id: the ``data.LifeId``
+    :param id: the ``data.IncarnationId``
     :param seq: the sequence number of the heartbeat within the incarnation,
         0 if it has none
     :param leaves_in_ms: minimum time that a draining worker still stays
@@ -30,7 +30,7 @@
         pool and capacity.
     """
 
-    id: data.LifeId = data.LifeId()
+    id: data.IncarnationId = data.IncarnationId()
     pool: str = ''
     zone: str = ''
     capacity: data.Resources = dataclasses.field(
@@ -44,26 +44,26 @@
     described: bool = True
 
 
-class Lives:
+class IncarnationTracker:
     """The current incarnation of a worker and a candidate for it.
 
     Not thread-safe; the caller has to hold a lock.
 
-    :ivar current: the :class:`Life` that answered last
-    :ivar candidate: a :class:`Life` that has sent a heartbeat but has not
-        answered yet, or None
+    :ivar current: the :class:`Incarnation` that answered last
+    :ivar candidate: an :class:`Incarnation` that has sent a heartbeat but
+        has not answered yet, or None
     """
 
     __slots__ = ('current', 'candidate')
 
     def __init__(self):
-        self.current = Life(described=False)
+        self.current = Incarnation(described=False)
         self.candidate = None
 
-    def offer(self, life):
+    def record_heartbeat(self, life):
         """Record a heartbeat.
 
-        :param life: the :class:`Life` that it describes
+        :param life: the :class:`Incarnation` that it describes
         :returns: whether the caller has to read the worker's listing
         """
         if life.id == self.current.id:
@@ -79,13 +79,13 @@
         lives.append(self.current)
         return list(dict.fromkeys(life.id.instance for life in lives))
 
-    def settle(self, life_id):
+    def confirm(self, life_id):
         """Record that an incarnation has answered, which makes it current.
 
         The attempts, listing and sequence numbers of the previous
         incarnation are no longer valid.
 
-        :param life_id: the ``data.LifeId``
+        :param life_id: the ``data.IncarnationId``
         :returns: whether the current incarnation has changed
         """
         if life_id == self.current.id:
@@ -94,14 +94,14 @@
             self.current = self.candidate
             self.candidate = None
         else:
-            self.current = Life(life_id, described=False)
+            self.current = Incarnation(life_id, described=False)
         return True
 
-    def refute(self, life):
+    def discard_candidate(self, life):
         """Drop a candidate because another incarnation answered after it.
 
-        :param life: the :class:`Life` that was the candidate; ignored if
-            another one has become the candidate since
+        :param life: the :class:`Incarnation` that was the candidate; ignored
+            if another one has become the candidate since
         """
         if self.candidate is life:
             self.candidate = None
@@ -113,7 +113,7 @@
         because a draining worker was told that its heartbeat was received.
         """
         if not (self.current.id.instance and self.current.described):
-            return base.REFUSED_UNHEARD
+            return base.REFUSED_NO_HEARTBEAT
         if self.current.draining:
             return base.REFUSED_LEAVING
         return ''
