--- a/packages/callers/portwharf/callers/__init__.py
+++ b/packages/callers/portwharf/callers/__init__.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """The callers' API: requests to services and error budget burn rates."""
 
-from portwharf.callers.burn import BurnCounter
-from portwharf.callers.burn import compute_burn
+from portwharf.callers.burn import BurnRateCounter
+from portwharf.callers.burn import compute_burn_rates
 from portwharf.callers.burn import ServiceBuckets
 from portwharf.callers.service import Call
 from portwharf.callers.service import CallerService
@@ -11,11 +11,11 @@
 from portwharf.callers.service import Router
 
 __all__ = (
-    'BurnCounter',
+    'BurnRateCounter',
     'Call',
     'CallResult',
     'CallerService',
     'Router',
     'ServiceBuckets',
-    'compute_burn',
+    'compute_burn_rates',
 )
--- a/packages/callers/portwharf/callers/burn.py
+++ b/packages/callers/portwharf/callers/burn.py
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Burn:
+class BurnRates:
     """The state of a service's error budget.
 
     :param target_ratio: the ratio of requests to be answered in time
@@ -75,7 +75,7 @@
     exhausted_in: int = 0
 
 
-class BurnCounter:
+class BurnRateCounter:
     """Counts requests by service and minute; thread-safe."""
 
     def __init__(self, clock, find_target):
@@ -120,16 +120,16 @@
             ]
 
 
-def compute_burn(service, target, buckets, now):
+def compute_burn_rates(service, target, buckets, now):
     """Compute the burn rates of a service.
 
     :param target: an object with ``ms`` and ``ratio``
     :param buckets: the buckets of all entries, in any order
     :param now: wall time, in Unix seconds
-    :returns: a :class:`Burn`
+    :returns: a :class:`BurnRates`
     """
     budget = 1 - target.ratio
-    burn = Burn(service, target.ms, target.ratio)
+    burn = BurnRates(service, target.ms, target.ratio)
     for seconds in WINDOWS_SECONDS:
         burn.windows.append(_compute_window(buckets, seconds, now, budget))
     period = burn.windows[-1]
--- a/packages/callers/portwharf/callers/burn_test.py
+++ b/packages/callers/portwharf/callers/burn_test.py
@@ -14,14 +14,16 @@
 def make_counter():
     """Return a counter for one service with a target, and its clock."""
     manual_clock = clock.ManualClock(1_000_000)
-    return burn.BurnCounter(manual_clock, {SERVICE: TARGET}.get), manual_clock
+    return burn.BurnRateCounter(
+        manual_clock, {SERVICE: TARGET}.get
+    ), manual_clock
 
 
 def compute(counter, manual_clock):
     """Return the service's burn rates at the present time."""
     (service,) = counter.list_services()
     now = manual_clock.read_monotonic()
-    return burn.compute_burn(SERVICE, TARGET, service.buckets, now)
+    return burn.compute_burn_rates(SERVICE, TARGET, service.buckets, now)
 
 
 def test_late_and_unanswered_requests_are_bad(case):
--- a/packages/core/portwharf/core/data.py
+++ b/packages/core/portwharf/core/data.py
@@ -35,7 +35,7 @@
 ENDED_STATES = frozenset(
     (TaskState.SUCCEEDED, TaskState.FAILED, TaskState.CANCELLED)
 )
-HELD_STATES = frozenset((TaskState.PLACED, TaskState.EVICTING))
+RESERVING_STATES = frozenset((TaskState.PLACED, TaskState.EVICTING))
 
 
 class RunState(enum.StrEnum):
@@ -125,7 +125,7 @@
             self.accelerators - other.accelerators,
         )
 
-    def cover(self, other):
+    def max_with(self, other):
         """Return the maximum of this amount and another in each dimension."""
         return Resources(
             max(self.cpu_milli, other.cpu_milli),
--- a/packages/core/portwharf/core/ids.py
+++ b/packages/core/portwharf/core/ids.py
@@ -51,7 +51,7 @@
     return value.int >> _TIMESTAMP_SHIFT_BITS
 
 
-def rank_by_rendezvous(key, names):
+def rank_by_rendezvous_hash(key, names):
     """Return the names by rendezvous weight for a key, highest first.
 
     Removing a name does not change the order of the others.
--- a/packages/core/portwharf/core/ids_test.py
+++ b/packages/core/portwharf/core/ids_test.py
@@ -27,15 +27,15 @@
 
 
 def test_rank_does_not_depend_on_the_order_of_the_names(case):
-    ranked = ids.rank_by_rendezvous('key', NAMES)
-    case.assertEqual(ids.rank_by_rendezvous('key', NAMES[::-1]), ranked)
+    ranked = ids.rank_by_rendezvous_hash('key', NAMES)
+    case.assertEqual(ids.rank_by_rendezvous_hash('key', NAMES[::-1]), ranked)
 
 
 def test_rank_keeps_its_order_when_a_name_is_removed(case):
-    ranked = ids.rank_by_rendezvous('key', NAMES)
+    ranked = ids.rank_by_rendezvous_hash('key', NAMES)
     remaining = [name for name in NAMES if name != ranked[3]]
     case.assertEqual(
-        ids.rank_by_rendezvous('key', remaining), ranked[:3] + ranked[4:]
+        ids.rank_by_rendezvous_hash('key', remaining), ranked[:3] + ranked[4:]
     )
 
 
--- a/packages/core/portwharf/core/logs.py
+++ b/packages/core/portwharf/core/logs.py
@@ -4,8 +4,9 @@
 
 ``extra=logs.fields(task=..., attempt=...)`` adds fields to a log line in
 both formats. VMs have no disk, so logs go to a standard stream that the
-platform collects. Long-running programs write through :class:`Printer`, so
-that a reader that has stopped does not block them.
+platform collects. Long-running programs write through
+:class:`NonBlockingStream`, so that a reader that has stopped does not block
+them.
 """
 
 import logging
@@ -79,7 +80,7 @@
     return values
 
 
-def end_on_crash():
+def exit_on_thread_exception():
     """Make an uncaught exception in any thread terminate the process.
 
     An uncaught exception means that an invariant is broken. Without the
@@ -96,7 +97,7 @@
     threading.excepthook = handle
 
 
-class Printer:
+class NonBlockingStream:
     """A stream whose ``write`` never blocks.
 
     A background thread writes queued lines to the underlying stream. Lines
@@ -126,7 +127,7 @@
     def flush(self):
         """Do nothing; the background thread flushes after each line."""
 
-    def wait_until_printed(self, seconds):
+    def flush_queue(self, seconds):
         """Wait until all queued lines are written.
 
         :param seconds: timeout for queueing and again for writing
--- a/packages/core/portwharf/core/logs_test.py
+++ b/packages/core/portwharf/core/logs_test.py
@@ -16,7 +16,7 @@
 from portwharf.core import logs
 import threading
 logs.set_up('text', 'INFO')
-logs.end_on_crash()
+logs.exit_on_thread_exception()
 thread = threading.Thread(target=lambda: 1 / 0)
 thread.start()
 thread.join()
@@ -82,10 +82,10 @@
 
 def test_blocked_stream_does_not_block_the_writer(case):
     stream = BlockedStream()
-    printer = logs.Printer(stream, 3)
+    printer = logs.NonBlockingStream(stream, 3)
     for number in range(50):
         printer.write(f'{number}\n')
     stream.released.set()
-    printer.wait_until_printed(20)
+    printer.flush_queue(20)
     case.assertIn('lines were dropped', ''.join(stream.written))
     case.assertLess(len(stream.written), 10)
--- a/packages/core/portwharf/core/pools.py
+++ b/packages/core/portwharf/core/pools.py
@@ -10,7 +10,7 @@
 import queue
 
 
-def drop_idle(pool):
+def close_idle_connections(pool):
     """Close the connections of a pool that no call is using.
 
     Connections in use stay open: their calls may still be answered, and
--- a/packages/core/portwharf/core/pools_test.py
+++ b/packages/core/portwharf/core/pools_test.py
@@ -32,7 +32,7 @@
 def test_idle_connections_are_closed_and_the_pool_keeps_its_size(case):
     conns = [FakeConnection(), FakeConnection()]
     pool = make_pool(conns)
-    pools.drop_idle(pool)
+    pools.close_idle_connections(pool)
     case.assertEqual([conn.closed for conn in conns], [True, True])
     slots = [pool.pool.get_nowait() for _ in range(pool.pool.qsize())]
     case.assertEqual(slots, [None] * SIZE)
@@ -42,7 +42,7 @@
     idle, used = FakeConnection(), FakeConnection()
     pool = make_pool([idle, used])
     case.assertIs(pool.pool.get_nowait(), used)
-    pools.drop_idle(pool)
+    pools.close_idle_connections(pool)
     pool.pool.put_nowait(used)
     case.assertEqual((idle.closed, used.closed), (True, False))
 
@@ -50,4 +50,4 @@
 def test_closed_pool_is_accepted(case):
     pool = make_pool([])
     pool.close()
-    pools.drop_idle(pool)
+    pools.close_idle_connections(pool)
--- a/packages/core/portwharf/core/settings.py
+++ b/packages/core/portwharf/core/settings.py
@@ -20,7 +20,7 @@
 # Raised by a check that rejects a value.
 Invalid = voluptuous.Invalid
 MAX_PORT = 65535
-MAX_NAME = 63
+MAX_NAME_CHARACTERS = 63
 
 
 @dataclasses.dataclass(slots=True)
@@ -93,10 +93,10 @@
 
 def port(value):
     """Check that a value is a TCP port."""
-    return whole(1, MAX_PORT)(value)
+    return integer(1, MAX_PORT)(value)
 
 
-def whole(low, high):
+def integer(low, high):
     """Return a check for a whole number in a range, bounds included."""
 
     def check(value):
@@ -124,11 +124,11 @@
 
 def name(value):
     """Check that a value is a name: letters, digits, dots and dashes."""
-    valid = isinstance(value, str) and 0 < len(value) <= MAX_NAME
+    valid = isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARACTERS
     if not valid or not value.replace('-', 'a').replace('.', 'a').isalnum():
         raise voluptuous.Invalid(
             'must be letters, digits, dots and dashes, at most '
-            f'{MAX_NAME} of them'
+            f'{MAX_NAME_CHARACTERS} of them'
         )
     return value
 
--- a/packages/core/portwharf/core/web.py
+++ b/packages/core/portwharf/core/web.py
@@ -26,7 +26,7 @@
 _SHUTDOWN_TIMEOUT_SECONDS = 5
 
 
-class Pages:
+class StatusPages:
     """The WSGI application of the status pages that every process serves."""
 
     def __init__(self, is_ready):
@@ -39,12 +39,12 @@
         if path == '/metrics':
             return self._metrics(environ, start_response)
         if path == '/healthz':
-            return answer_text(start_response, 200, 'ok\n')
+            return send_text(start_response, 200, 'ok\n')
         if path == '/readyz' and self._is_ready():
-            return answer_text(start_response, 200, 'ready\n')
+            return send_text(start_response, 200, 'ready\n')
         if path == '/readyz':
-            return answer_text(start_response, 503, 'not ready\n')
-        return answer_text(start_response, 404, 'no such page\n')
+            return send_text(start_response, 503, 'not ready\n')
+        return send_text(start_response, 404, 'no such page\n')
 
 
 class Server:
@@ -106,13 +106,13 @@
         return not stop_thread.is_alive()
 
 
-def answer_text(start_response, status, text):
+def send_text(start_response, status, text):
     """Answer a WSGI request with plain text."""
     body = text.encode()
     return _answer(start_response, status, body, _TEXT_TYPE)
 
 
-def answer_json(start_response, status, value):
+def send_json(start_response, status, value):
     """Answer a WSGI request with a JSON value."""
     body = json.dumps(value).encode()
     return _answer(start_response, status, body, _JSON_TYPE)
--- a/packages/core/portwharf/core/web_test.py
+++ b/packages/core/portwharf/core/web_test.py
@@ -20,7 +20,7 @@
 
 def test_pages_serve_health_readiness_and_metrics(case):
     ready = []
-    port = fixtures.serve(case, web.Pages(lambda: bool(ready)))
+    port = fixtures.serve(case, web.StatusPages(lambda: bool(ready)))
     case.assertEqual(get(port, '/healthz')[0], 200)
     case.assertEqual(get(port, '/readyz')[0], 503)
     ready.append(True)
@@ -35,7 +35,7 @@
     def app(environ, start_response):
         started.set()
         released.wait(20)
-        return web.answer_text(start_response, 200, 'late\n')
+        return web.send_text(start_response, 200, 'late\n')
 
     server = case.enterContext(web.Server('127.0.0.1', 0, app))
     pool = case.enterContext(concurrent.futures.ThreadPoolExecutor(1))
@@ -48,7 +48,7 @@
 
 
 def test_draining_server_closes_an_idle_connection(case):
-    app = web.Pages(lambda: True)
+    app = web.StatusPages(lambda: True)
     server = case.enterContext(web.Server('127.0.0.1', 0, app))
     conn = http.client.HTTPConnection('127.0.0.1', server.port, timeout=20)
     conn.request('GET', '/healthz')
--- a/packages/entry/portwharf/entry/job_history.py
+++ b/packages/entry/portwharf/entry/job_history.py
@@ -12,7 +12,7 @@
 import datetime
 import json
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 # Reasons of unsuccessful attempts besides the states reported by sides.
 MOVED = 'moved'
 LOST = 'lost'
@@ -149,7 +149,7 @@
 
     def _add_submission(self, moment, fields):
         job = self._find_job(fields['request'])
-        sent = moment - fields.get('took_ms', 0) / _MS
+        sent = moment - fields.get('took_ms', 0) / _MS_PER_SECOND
         job.sent = sent if job.sent is None else min(job.sent, sent)
 
     def _add_cancellation(self, moment, fields):
@@ -163,7 +163,7 @@
         job = self._find_job(fields['request'])
         job.accepted = job.accepted or moment
         job.queue = fields.get('queue', '')
-        job.due = (fields.get('due_ms') or 0) / _MS
+        job.due = (fields.get('due_ms') or 0) / _MS_PER_SECOND
 
     def _add_end(self, moment, fields):
         job = self._find_job(fields['request'])
@@ -180,7 +180,7 @@
     def _add_successes(self, moment, fields):
         step = self._find_step(fields['workload'])
         if fields.get('run_ms'):
-            step.run = fields['run_ms'] / _MS
+            step.run = fields['run_ms'] / _MS_PER_SECOND
         for task, number in _list_attempts(fields):
             attempt = step.tasks[task].setdefault(number, Attempt(moment))
             attempt.ended = moment
@@ -206,7 +206,7 @@
     def _add_paced_time(self, moment, fields):
         attempt = self._find_attempt(fields)
         if attempt is not None:
-            attempt.paced = fields.get('paced_ms', 0) / _MS
+            attempt.paced = fields.get('paced_ms', 0) / _MS_PER_SECOND
 
     def _add_wait(self, moment, fields):
         step = self._find_step(fields['workload'])
--- a/packages/entry/portwharf/entry/limiter.py
+++ b/packages/entry/portwharf/entry/limiter.py
@@ -67,11 +67,11 @@
         self._lock = threading.Lock()
         self._services = {}
 
-    def enter(self, service, caller):
+    def admit(self, service, caller):
         """Admit or refuse a request.
 
         :returns: an :class:`Admission`; unless it is REFUSED,
-            :meth:`leave` must follow when the request ends
+            :meth:`release` must follow when the request ends
         """
         with self._lock:
             state = self._services.setdefault(service, _ServiceState())
@@ -84,7 +84,7 @@
                 return Admission.EXCESS
             return Admission.ADMITTED
 
-    def leave(self, service, caller):
+    def release(self, service, caller):
         """Record the end of an admitted request."""
         with self._lock:
             state = self._services[service]
@@ -93,7 +93,7 @@
             if state.callers[caller] <= 0:
                 del state.callers[caller]
 
-    def note_load(self, service, in_flight, slots):
+    def record_load(self, service, in_flight, slots):
         """Adjust a service's limit by the load that an endpoint reports."""
         now = self._clock.read_monotonic()
         with self._lock:
--- a/packages/entry/portwharf/entry/main.py
+++ b/packages/entry/portwharf/entry/main.py
@@ -39,7 +39,7 @@
             cli.exit_with_problems(read.err_value)
         cfg = read.ok_value
         logs.set_up(cfg.log_style, cfg.log_level)
-        logs.end_on_crash()
+        logs.exit_on_thread_exception()
         entry = process.EntryProcess(cfg)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: entry.stop())
--- a/packages/entry/portwharf/entry/owner_client.py
+++ b/packages/entry/portwharf/entry/owner_client.py
@@ -100,7 +100,7 @@
         if link is None:
             return None
         operation = messages.Operation(0, method, body)
-        exchange = link.begin(operation)
+        exchange = link.send_request(operation)
         if exchange is None:
             return None
         deadline = self._clock.read_monotonic() + min(
--- a/packages/entry/portwharf/entry/process.py
+++ b/packages/entry/portwharf/entry/process.py
@@ -46,7 +46,7 @@
         self._keeper = configuration.ConfigKeeper()
         self._instance = ids.make_nonce()
         self._calls = _ActiveCalls()
-        self._burn = callers.BurnCounter(
+        self._burn = callers.BurnRateCounter(
             self._clock, lambda name: self._keeper.read().targets.get(name)
         )
 
@@ -109,7 +109,7 @@
         caller_app = callers_connect.CallerServiceWSGIApplication(
             callers.CallerService(router)
         )
-        pages = web.Pages(self._is_ready)
+        pages = web.StatusPages(self._is_ready)
 
         def serve(environ, start_response):
             path = environ.get('PATH_INFO', '')
@@ -119,7 +119,7 @@
                 return self._calls.run(caller_app, environ, start_response)
             if path == entry_peers.PATH:
                 page = codec.to_map(self._make_page())
-                return web.answer_json(start_response, 200, page)
+                return web.send_json(start_response, 200, page)
             return pages(environ, start_response)
 
         return serve
--- a/packages/entry/portwharf/entry/ratings.py
+++ b/packages/entry/portwharf/entry/ratings.py
@@ -71,7 +71,7 @@
         self._typical_seconds = 0.05
         self._random = random.Random()
 
-    def observe(self, name, outcome, reason, seconds):
+    def record_result(self, name, outcome, reason, seconds):
         """Update an endpoint's rating by the result of one attempt."""
         now = self._clock.read_monotonic()
         with self._lock:
--- a/packages/entry/portwharf/entry/routing.py
+++ b/packages/entry/portwharf/entry/routing.py
@@ -46,7 +46,7 @@
 _HOME_CHANGED_REASONS = frozenset(
     ('not-the-home-of-this-id', 'home-is-not-confirmed')
 )
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class RetryBudget:
@@ -87,23 +87,23 @@
         self._observe = observe
         self._budget = RetryBudget()
         self._ratings = ratings.EndpointRatings(clock)
-        self._gate = limiter.ConcurrencyLimiter(clock)
+        self._limiter = limiter.ConcurrencyLimiter(clock)
         self._random = random.Random()
         self._pause = threading.Event()
 
     def route(self, call):
         began = self._clock.read_monotonic()
-        deadline = began + call.deadline_ms / _MS
-        done = self._pass_gate(call, deadline)
+        deadline = began + call.deadline_ms / _MS_PER_SECOND
+        done = self._route_admitted(call, deadline)
         if done.outcome == data.Outcome.NOT_RUN:
             _mark_unknown_if_unproved(call, done)
         spent = self._clock.read_monotonic() - began
         self._observe(call.service, done.outcome, spent)
         return done
 
-    def _pass_gate(self, call, deadline):
+    def _route_admitted(self, call, deadline):
         """Route a request unless the concurrency limit refuses it."""
-        admitted = self._gate.enter(call.service, call.caller)
+        admitted = self._limiter.admit(call.service, call.caller)
         call.excess = admitted is limiter.Admission.EXCESS
         if admitted is limiter.Admission.REFUSED:
             return callers.CallResult(
@@ -117,7 +117,7 @@
                 return self._try_endpoints(call, deadline)
             return self._try_home(call, deadline)
         finally:
-            self._gate.leave(call.service, call.caller)
+            self._limiter.release(call.service, call.caller)
 
     def _try_endpoints(self, call, deadline):
         done = callers.CallResult(
@@ -127,7 +127,7 @@
         tried = set()
         maybe_ran = False
         for attempt in range(MAX_ATTEMPTS):
-            link = self._choose(call.service, tried)
+            link = self._select_endpoint(call.service, tried)
             if link is None:
                 return done
             if attempt and not self._budget.spend():
@@ -162,7 +162,7 @@
                 return done
         return done
 
-    def _choose(self, service, tried):
+    def _select_endpoint(self, service, tried):
         """Return the link to the better of two random endpoints, or None.
 
         Ejected endpoints are used only if no other is left.
@@ -195,9 +195,11 @@
         sent = self._clock.read_monotonic()
         done = self._exchange(link, call, left)
         spent = self._clock.read_monotonic() - sent
-        self._ratings.observe(link.name, done.outcome, done.reason, spent)
+        self._ratings.record_result(
+            link.name, done.outcome, done.reason, spent
+        )
         view = link.view
-        self._gate.note_load(
+        self._limiter.record_load(
             call.service, view.state.in_flight, view.state.slots
         )
         return done
@@ -208,11 +210,11 @@
             call.id,
             call.service,
             call.repeatable,
-            int(left * _MS),
+            int(left * _MS_PER_SECOND),
             call.sent_before,
             call.excess,
         )
-        exchange = link.begin(message, call.payload)
+        exchange = link.send_request(message, call.payload)
         if exchange is None:
             return callers.CallResult(
                 data.Outcome.NOT_RUN,
--- a/packages/entry/portwharf/entry/routing_test.py
+++ b/packages/entry/portwharf/entry/routing_test.py
@@ -38,7 +38,7 @@
         """The VM's name."""
         return self.view.vm.name
 
-    def begin(self, message, payload=b''):
+    def send_request(self, message, payload=b''):
         """Answer a request."""
         self.sent.append(message.request)
         if self.outcome is None:
--- a/packages/entry/portwharf/entry/settings.py
+++ b/packages/entry/portwharf/entry/settings.py
@@ -19,14 +19,16 @@
             voluptuous.Required('port'): settings.port,
             voluptuous.Required('availability_zone'): settings.name,
             voluptuous.Optional('rack', default='none'): settings.name,
-            voluptuous.Optional('threads', default=48): settings.whole(
+            voluptuous.Optional('threads', default=48): settings.integer(
                 2, 1024
             ),
         },
         voluptuous.Required('store'): settings.ENDPOINT,
         voluptuous.Required('vm_list'): settings.ENDPOINT,
         voluptuous.Optional('shards', default=dict): {
-            voluptuous.Optional('count', default=1): settings.whole(1, 10000),
+            voluptuous.Optional('count', default=1): settings.integer(
+                1, 10000
+            ),
         },
         voluptuous.Required('tls'): settings.TLS,
         voluptuous.Optional('log', default=dict): settings.LOG,
--- a/packages/entry/portwharf/entry/shard_backend.py
+++ b/packages/entry/portwharf/entry/shard_backend.py
@@ -136,7 +136,9 @@
                 buckets[service.service].extend(service.buckets)
         now = self._clock.read_unix_ms() / 1000
         return [
-            _write_burn(callers.compute_burn(name, target, buckets[name], now))
+            _write_burn(
+                callers.compute_burn_rates(name, target, buckets[name], now)
+            )
             for name, target in sorted(targets.items())
         ]
 
--- a/packages/entry/portwharf/entry/side_links.py
+++ b/packages/entry/portwharf/entry/side_links.py
@@ -139,7 +139,7 @@
         self.view.up = True
 
     def handle(self, conn, message):
-        self._take(message)
+        self._handle_message(message)
 
     def detach(self):
         self.view.up = False
@@ -150,7 +150,7 @@
         for exchange in lost:
             exchange.fail('connection-lost')
 
-    def begin(self, message, payload=b''):
+    def send_request(self, message, payload=b''):
         """Send a request or an operation.
 
         :param message: its ``id`` is set here
@@ -213,7 +213,7 @@
             if self._exchanges.pop(number, None) is not None:
                 self.view.sent -= 1
 
-    def _take(self, message):
+    def _handle_message(self, message):
         if isinstance(message, messages.SideState):
             former, self.view.state = self.view.state, message
             if former.owner != message.owner and self._on_owner_change:
--- a/packages/entry/portwharf/entry/side_links_test.py
+++ b/packages/entry/portwharf/entry/side_links_test.py
@@ -63,11 +63,11 @@
     case.assertTrue(link.attached.wait(10))
     link.attached.clear()
     proxy.freeze_connections()
-    lost = link.begin(messages.Operation(0, 'lost'))
+    lost = link.send_request(messages.Operation(0, 'lost'))
     case.assertTrue(lost.wait(8))
     case.assertEqual(lost.failure, 'connection-lost')
     case.assertTrue(link.attached.wait(10))
-    link.begin(messages.Operation(0, 'found'))
+    link.send_request(messages.Operation(0, 'found'))
     case.assertEqual(received.get(timeout=10).method, 'found')
 
 
--- a/packages/entry/portwharf/entry/side_subset.py
+++ b/packages/entry/portwharf/entry/side_subset.py
@@ -38,7 +38,7 @@
         :param links: map of the present links by name
         """
         selected, reachable = [], 0
-        for name in ids.rank_by_rendezvous(self._name, names):
+        for name in ids.rank_by_rendezvous_hash(self._name, names):
             if (
                 reachable >= self._min_links
                 or len(selected) >= _MAX_LINKS_FACTOR * self._min_links
--- a/packages/entry/portwharf/entry/workload_file.py
+++ b/packages/entry/portwharf/entry/workload_file.py
@@ -30,17 +30,17 @@
 
 
 _RESOURCES = {
-    voluptuous.Required('cpu_milli'): settings.whole(
+    voluptuous.Required('cpu_milli'): settings.integer(
         1, validators.MAX_CPU_MILLI
     ),
-    voluptuous.Required('memory_mb'): settings.whole(
+    voluptuous.Required('memory_mb'): settings.integer(
         1, validators.MAX_MEMORY_MB
     ),
-    voluptuous.Optional('accelerators', default=0): settings.whole(
+    voluptuous.Optional('accelerators', default=0): settings.integer(
         0, validators.MAX_ACCELERATORS
     ),
 }
-_SECONDS = settings.whole(0, validators.MAX_SECONDS)
+_SECONDS = settings.integer(0, validators.MAX_SECONDS)
 SCHEMA = voluptuous.Schema(
     {
         voluptuous.Required('workload'): [
@@ -52,10 +52,10 @@
                 voluptuous.Required('resources'): _RESOURCES,
                 voluptuous.Optional('key', default=''): text,
                 voluptuous.Optional('argument', default=''): text,
-                voluptuous.Optional('count', default=1): settings.whole(
+                voluptuous.Optional('count', default=1): settings.integer(
                     1, validators.MAX_COUNT
                 ),
-                voluptuous.Optional('importance', default=0): settings.whole(
+                voluptuous.Optional('importance', default=0): settings.integer(
                     0, validators.MAX_IMPORTANCE
                 ),
                 voluptuous.Optional('run_seconds', default=0): _SECONDS,
--- a/packages/peers/portwharf/peers/streams.py
+++ b/packages/peers/portwharf/peers/streams.py
@@ -50,7 +50,7 @@
 _BLOCKED_POLL_SECONDS = 0.1
 _READ_BYTES = 64 * 1024
 _BACKLOG = 512
-_MS = 1000
+_MS_PER_SECOND = 1000
 _WOULD_BLOCK = (BlockingIOError, ssl.SSLWantReadError, ssl.SSLWantWriteError)
 _KEEP_ALIVE_FRAME = msgpack.packb([KEEP_ALIVE, {}])
 
@@ -201,7 +201,7 @@
         """
         wants_read = isinstance(exc, ssl.SSLWantReadError)
         poll = self._read_poll if wants_read else self._write_poll
-        poll.poll(_BLOCKED_POLL_SECONDS * _MS)
+        poll.poll(_BLOCKED_POLL_SECONDS * _MS_PER_SECOND)
 
     def _wait_until_readable(self):
         """Wait until there are bytes to read, sending keep-alive frames.
@@ -215,7 +215,7 @@
             if left <= 0:
                 raise TimeoutError
             wait = min(left, self._idle_seconds / KEEP_ALIVES_PER_LIMIT)
-            if self._read_poll.poll(wait * _MS):
+            if self._read_poll.poll(wait * _MS_PER_SECOND):
                 return
 
     def _send_keep_alive(self):
--- a/packages/platform/portwharf/platform/boot.py
+++ b/packages/platform/portwharf/platform/boot.py
@@ -17,7 +17,7 @@
 from portwharf.scheduler import limits
 
 PATH_VARIABLE = 'PORTWHARF_BOOT'
-_MS = 1000
+_MS_PER_SECOND = 1000
 # The longest lease, if the file does not say.
 _MAX_HOLD_MS = 6000
 # One process's calls per second, as a share of the store's writes per second.
@@ -114,7 +114,7 @@
     change of owner, which takes the takeover time, the questions to the
     other sides and a first heartbeat.
     """
-    longest_lease = boot.max_hold_ms / _MS
+    longest_lease = boot.max_hold_ms / _MS_PER_SECOND
     return limits.Limits(
         heartbeat=0.4,
         confirm=1.6,
--- a/packages/platform/portwharf/platform/decoding.py
+++ b/packages/platform/portwharf/platform/decoding.py
@@ -103,7 +103,7 @@
     steps = [
         _parse_step(queue, step, number) for number, step in enumerate(rows)
     ]
-    chains = jobs.measure_chains(steps)
+    chains = jobs.compute_path_ms(steps)
     max_runs = json_fields.read_int(value, 'maxRuns')
     return data.Job(
         job_id,
--- a/packages/platform/portwharf/platform/heartbeats.py
+++ b/packages/platform/portwharf/platform/heartbeats.py
@@ -39,11 +39,11 @@
         path = environ.get('PATH_INFO', '')
         instance, _, verb = path.removeprefix(PREFIX).rpartition('/')
         if not path.startswith(PREFIX) or not instance:
-            return web.answer_text(start_response, 404, 'no such page\n')
+            return web.send_text(start_response, 404, 'no such page\n')
         if verb == 'deregister':
-            return web.answer_json(start_response, 200, {})
+            return web.send_json(start_response, 200, {})
         if verb != 'heartbeat':
-            return web.answer_text(start_response, 404, 'no such page\n')
+            return web.send_text(start_response, 404, 'no such page\n')
         try:
             size = int(environ.get('CONTENT_LENGTH') or 0)
             raw = environ['wsgi.input'].read(min(size, MAX_BODY_BYTES))
@@ -52,7 +52,7 @@
             return self._refuse(start_response, instance, exc)
         self._last_refusal = None
         self._on_life(life)
-        return web.answer_json(start_response, 200, {})
+        return web.send_json(start_response, 200, {})
 
     def _refuse(self, start_response, instance, exc):
         """Refuse a malformed heartbeat; logs the same reason once in a row."""
@@ -63,7 +63,7 @@
             extra = logs.fields(life=instance, reason=reason)
             LOG.warning('heartbeat refused', extra=extra)
         text = f'not a heartbeat: {reason}; send its fields as JSON\n'
-        return web.answer_text(start_response, 400, text)
+        return web.send_text(start_response, 400, text)
 
 
 def read_birth_time(value):
--- a/packages/platform/portwharf/platform/http_client.py
+++ b/packages/platform/portwharf/platform/http_client.py
@@ -79,7 +79,7 @@
             return result.Err(NoReply(str(exc), refused=refused))
         except urllib3.exceptions.HTTPError as exc:
             if isinstance(exc, urllib3.exceptions.TimeoutError):
-                pools.drop_idle(self._pool)
+                pools.close_idle_connections(self._pool)
             return result.Err(NoReply(str(exc), sent=True))
         return _read_reply(response)
 
--- a/packages/platform/portwharf/platform/job_api.py
+++ b/packages/platform/portwharf/platform/job_api.py
@@ -41,7 +41,7 @@
     owner_client.UNKNOWN_ID: 410,
 }
 _BAD_GATEWAY = 502
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -125,7 +125,7 @@
         self._log_answer('submit', job_id, queue, status, started)
         if answer.is_err():
             return _respond_problem(respond, status, answer.err_value)
-        return web.answer_json(respond, 200, {})
+        return web.send_json(respond, 200, {})
 
     def _read_state(self, job_id, environ, respond):
         query = operations.Query(job_id)
@@ -138,7 +138,7 @@
         if not answer.ok_value.state:
             return _respond_error(respond, 410, 'no such job')
         state = {'state': answer.ok_value.state}
-        return web.answer_json(respond, 200, state)
+        return web.send_json(respond, 200, state)
 
     def _cancel(self, job_id, queue, environ, respond):
         query = operations.Query(job_id)
@@ -149,7 +149,7 @@
         self._log_answer('cancel', job_id, queue, status, started)
         if answer.is_err():
             return _respond_problem(respond, status, answer.err_value)
-        return web.answer_json(respond, 200, {})
+        return web.send_json(respond, 200, {})
 
     def _log_answer(self, verb, job_id, queue, status, started):
         """Log a call's status and the configuration revision."""
@@ -159,7 +159,7 @@
             queue=queue.name,
             status=status,
             revision=self._keeper.read().revision,
-            took_ms=int(took * _MS),
+            took_ms=int(took * _MS_PER_SECOND),
         )
         LOG.info('%s answered', verb, extra=extra)
 
@@ -181,7 +181,7 @@
             cached = _PendingCount(now, answer.ok_value.count)
             with self._lock:
                 self._pending_counts[queue.name] = cached
-        return web.answer_json(respond, 200, {'pending': cached.count})
+        return web.send_json(respond, 200, {'pending': cached.count})
 
     def _call(self, method, arguments, cls, seconds):
         seconds = self._shutdown.limit_seconds(seconds)
@@ -199,17 +199,17 @@
 
     def __call__(self, environ, start_response):
         if environ.get('PATH_INFO', '') != READINESS_PATH:
-            return web.answer_text(start_response, 404, 'no such page\n')
+            return web.send_text(start_response, 404, 'no such page\n')
         if self._is_ready():
-            return web.answer_text(start_response, 200, 'ready\n')
-        return web.answer_text(start_response, 503, 'not ready\n')
+            return web.send_text(start_response, 200, 'ready\n')
+        return web.send_text(start_response, 503, 'not ready\n')
 
 
 def _read_time_limit(environ):
     """Return for how many seconds a call may wait for its owner."""
     text = environ.get('HTTP_PORTWHARF_DEADLINE_MS', '')
     deadline_ms = int(text) if text.isdigit() else DEFAULT_DEADLINE_MS
-    return min(CALL_SECONDS, DEADLINE_SHARE * deadline_ms / _MS)
+    return min(CALL_SECONDS, DEADLINE_SHARE * deadline_ms / _MS_PER_SECOND)
 
 
 def _map_status(answer):
@@ -236,4 +236,4 @@
     def respond_with_headers(status_line, answer_headers):
         return respond(status_line, answer_headers + headers)
 
-    return web.answer_json(respond_with_headers, status, {'error': text})
+    return web.send_json(respond_with_headers, status, {'error': text})
--- a/packages/platform/portwharf/platform/programs.py
+++ b/packages/platform/portwharf/platform/programs.py
@@ -114,7 +114,7 @@
         calls = owner_client.OwnerClient(self._links, self._clock)
         jobs = job_api.JobApi(calls, self._keeper, self._clock, self._shutdown)
         ready = job_api.ReadinessCheck(self._is_ready)
-        pages = web.Pages(self._is_ready)
+        pages = web.StatusPages(self._is_ready)
         vm = self._boot.vm
         self._client_server = self._serve(
             self._boot.clients, jobs, CLIENT_THREADS
@@ -172,9 +172,9 @@
         for problem in loaded.err_value:
             print(problem.describe(), file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
-    printer = logs.Printer(sys.stdout)
+    printer = logs.NonBlockingStream(sys.stdout)
     logs.set_up('json', 'INFO', printer)
-    logs.end_on_crash()
+    logs.exit_on_thread_exception()
     make = EntryProgram if role == 'entry' else make_side
     program = make(loaded.ok_value)
     stop_seconds = max(0.0, loaded.ok_value.grace_seconds - END_MARGIN_SECONDS)
@@ -190,6 +190,6 @@
         program.wait()
     LOG.info('%s stopped', role)
     logging.shutdown()
-    printer.wait_until_printed(LOG_FLUSH_SECONDS)
+    printer.flush_queue(LOG_FLUSH_SECONDS)
     # Threads that wait for a silent peer would delay the exit.
     os._exit(0)
--- a/packages/platform/portwharf/platform/runner.py
+++ b/packages/platform/portwharf/platform/runner.py
@@ -48,7 +48,7 @@
 _MISDIRECTED = 421
 # Other statuses of a start that was certainly not carried out.
 _NOT_STARTED = (400, _MISDIRECTED, 429, 503)
-_MS = 1000
+_MS_PER_SECOND = 1000
 # Starts to remember; all starts of running attempts are kept besides.
 MAX_REMEMBERED_STARTS = 1000
 
@@ -119,10 +119,10 @@
         if is_urgent:
             self._notify()
 
-    def follow(self, on_change):
+    def on_attempt_end(self, on_change):
         self._on_change = on_change
 
-    def recall(self, start):
+    def restore_start(self, start):
         key = (start.task, start.attempt)
         if key not in self._starts:
             self._starts.put(key, start)
@@ -306,7 +306,7 @@
             body['untilMs'] = until_ms
         if wait_ms:
             body['waitMs'] = wait_ms
-        seconds = runner_connection.CALL_SECONDS + wait_ms / _MS
+        seconds = runner_connection.CALL_SECONDS + wait_ms / _MS_PER_SECOND
         answer = self._order(
             conn, life, runner_connection.HOLD_PATH, body, seconds
         )
@@ -386,7 +386,7 @@
             answer = self._hold(
                 self._wait_conn,
                 self._incarnations.current.id,
-                wait_ms=int(WAIT_SECONDS * _MS),
+                wait_ms=int(WAIT_SECONDS * _MS_PER_SECOND),
             )
             if answer.is_err():
                 self._stop.wait(_RETRY_SECONDS)
--- a/packages/platform/portwharf/platform/runner_restart_test.py
+++ b/packages/platform/portwharf/platform/runner_restart_test.py
@@ -128,7 +128,7 @@
     side.deliver_heartbeat()
     side.read_listing()
     notified = threading.Event()
-    side.client.follow(notified.set)
+    side.client.on_attempt_end(notified.set)
     case.enterContext(side.client)
     side.start(SECOND)
     notified.clear()
--- a/packages/platform/portwharf/platform/runner_test.py
+++ b/packages/platform/portwharf/platform/runner_test.py
@@ -165,7 +165,7 @@
 def test_end_is_notified_at_once(case):
     client, standin = open_runner(case)
     notified = threading.Event()
-    client.follow(notified.set)
+    client.on_attempt_end(notified.set)
     case.enterContext(client)
     start(client)
     standin.end_run(TASK)
@@ -175,7 +175,7 @@
 def test_draining_is_notified_at_once(case):
     client, _ = open_runner(case)
     notified = threading.Event()
-    client.follow(notified.set)
+    client.on_attempt_end(notified.set)
     client.record_heartbeat(make_life(draining=True, leaves_in_ms=2500))
     case.assertTrue(notified.is_set())
     case.assertEqual(client.read_listing().ok_value.leaves_in_ms, 2500)
@@ -184,7 +184,9 @@
 def test_attempt_of_a_former_side_is_listed_with_its_resources(case):
     client, standin = open_runner(case)
     standin.running[TASK] = 1
-    client.recall(workers.Start(TASK, 1, workload='a/b', resources=SIZE))
+    client.restore_start(
+        workers.Start(TASK, 1, workload='a/b', resources=SIZE)
+    )
     (attempt,) = client.read_listing().ok_value.attempts
     case.assertEqual((attempt.workload, attempt.resources), ('a/b', SIZE))
 
@@ -194,7 +196,7 @@
     start(client)
     client.read_listing()
     for number in range(runner.MAX_REMEMBERED_STARTS + 1):
-        client.recall(workers.Start(f'x.{number}', 1))
+        client.restore_start(workers.Start(f'x.{number}', 1))
     (attempt,) = client.read_listing().ok_value.attempts
     case.assertEqual(attempt.resources, SIZE)
 
@@ -248,7 +250,7 @@
 def test_heartbeat_of_a_new_life_is_notified_at_once(case):
     client, _ = open_runner(case)
     notified = threading.Event()
-    client.follow(notified.set)
+    client.on_attempt_end(notified.set)
     client.record_heartbeat(make_life('i-2'))
     case.assertTrue(notified.is_set())
 
@@ -292,7 +294,9 @@
     standin, place = platform_runner.serve_runner(case)
     standin.running[TASK] = 1
     client = runner.RunnerWorker(place, lambda: 7, 6000)
-    client.recall(workers.Start(TASK, 1, workload='a/b', resources=SIZE))
+    client.restore_start(
+        workers.Start(TASK, 1, workload='a/b', resources=SIZE)
+    )
     client.record_heartbeat(make_life())
     (attempt,) = client.read_listing().ok_value.attempts
     case.assertEqual((attempt.workload, attempt.resources), ('a/b', SIZE))
--- a/packages/platform/portwharf/platform/store_client.py
+++ b/packages/platform/portwharf/platform/store_client.py
@@ -32,7 +32,7 @@
 _HISTORY_GONE = 410
 # Statuses that guarantee that nothing was changed.
 _UNCHANGED_STATUSES = (400, 403, 404, 429, 503)
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class PlatformStore(store.LeaseStore):
@@ -111,7 +111,7 @@
         wait = min(timeout, WATCH_SECONDS)
         after = max(revision, self._last_revisions.get(key, 0))
         query = _encode_query(
-            pathPrefix=key, watchRev=after, waitMs=int(wait * _MS)
+            pathPrefix=key, watchRev=after, waitMs=int(wait * _MS_PER_SECOND)
         )
         reply = self._call(
             'GET',
@@ -133,9 +133,9 @@
         ]
         return result.Ok(entries[-1] if entries else None)
 
-    def list_names(self, prefix):
+    def list_keys(self, prefix):
         query = _encode_query(pathPrefix=prefix)
-        names = store.Names()
+        names = store.KeyList()
         while True:
             reply = self._call('GET', f'/portwharf/kv-range?{query}', _OK)
             if reply.is_err():
@@ -150,10 +150,12 @@
                 return result.Ok(names)
             query = _encode_query(pathPrefix=prefix, watchRev=found[-1])
 
-    def wait_for_names(self, prefix, revision, timeout):
+    def wait_for_key_changes(self, prefix, revision, timeout):
         wait = min(timeout, MAX_WATCH_SECONDS)
         query = _encode_query(
-            pathPrefix=prefix, watchRev=revision, waitMs=int(wait * _MS)
+            pathPrefix=prefix,
+            watchRev=revision,
+            waitMs=int(wait * _MS_PER_SECOND),
         )
         reply = self._call(
             'GET',
@@ -165,17 +167,17 @@
         if reply.is_err():
             return reply
         if reply.ok_value.status == _HISTORY_GONE:
-            return result.Ok(store.Names())
+            return result.Ok(store.KeyList())
         value = reply.ok_value.value
         unchanged = 0 if value['events'] else value.get('at', 0)
-        return result.Ok(store.Names(revision=unchanged))
+        return result.Ok(store.KeyList(revision=unchanged))
 
-    def open_lease(self, seconds):
-        body = {'ttl_ms': int(seconds * _MS)}
+    def grant_lease(self, seconds):
+        body = {'ttl_ms': int(seconds * _MS_PER_SECOND)}
         reply = self._call('POST', '/portwharf/kv-lease', _OK, body=body)
         return reply.map(lambda found: found.value['lease'])
 
-    def keep_lease(self, lease):
+    def renew_lease(self, lease):
         path = f'/portwharf/kv-keep/{lease}'
         reply = self._call('POST', path, _OK, _NOT_FOUND)
         return reply.map(lambda found: found.status == _OK)
@@ -186,7 +188,7 @@
         :param expected: the revision that each of some keys must have
         :param puts: items to write
         :param removals: names of the keys to delete
-        :returns: Ok(Swap), or Err(StoreError)
+        :returns: Ok(WriteResult), or Err(StoreError)
         """
         body = {'expectedRev': expected, 'put': puts, 'remove': removals}
         reply = self._call(
@@ -200,8 +202,8 @@
         if reply.is_err():
             return reply
         if reply.ok_value.status == _CONFLICT:
-            return result.Ok(store.Swap())
-        return result.Ok(store.Swap(True, reply.ok_value.value['rev']))
+            return result.Ok(store.WriteResult())
+        return result.Ok(store.WriteResult(True, reply.ok_value.value['rev']))
 
     def _call(
         self,
--- a/packages/platform/portwharf/platform/store_client_test.py
+++ b/packages/platform/portwharf/platform/store_client_test.py
@@ -93,11 +93,11 @@
 
 def test_keys_are_deleted_with_their_lease(case):
     client, standin = open_store(case)
-    lease = client.open_lease(5).ok_value
+    lease = client.grant_lease(5).ok_value
     client.put('a', b'1', lease)
-    case.assertTrue(client.keep_lease(lease).ok_value)
+    case.assertTrue(client.renew_lease(lease).ok_value)
     standin.end_leases()
-    case.assertFalse(client.keep_lease(lease).ok_value)
+    case.assertFalse(client.renew_lease(lease).ok_value)
     case.assertIsNone(client.read('a').ok_value)
 
 
@@ -132,33 +132,35 @@
     for number in range(8):
         standin.set_item(f'zones/{number}', '')
     standin.set_item('zonesque', '')
-    names = client.list_names('zones/').ok_value
+    names = client.list_keys('zones/').ok_value
     case.assertEqual([key[-1] for key in names.keys], list('01234567'))
 
 
 def test_watch_of_names_reports_writes_and_deletions(case):
     client, standin = open_store(case)
-    empty = client.list_names('zones/').ok_value
+    empty = client.list_keys('zones/').ok_value
     standin.set_item('zones/a', '')
-    changed = client.wait_for_names('zones/', empty.revision, 1)
+    changed = client.wait_for_key_changes('zones/', empty.revision, 1)
     case.assertEqual(changed.ok_value.revision, 0)
-    listed = client.list_names('zones/').ok_value
+    listed = client.list_keys('zones/').ok_value
     case.assertEqual(listed.keys, ['zones/a'])
     standin.revoke('zones/a')
-    changed = client.wait_for_names('zones/', listed.revision, 1)
+    changed = client.wait_for_key_changes('zones/', listed.revision, 1)
     case.assertEqual(changed.ok_value.revision, 0)
 
 
 def test_unchanged_watch_of_names_returns_a_later_revision(case):
     client, standin = open_store(case)
-    empty = client.list_names('zones/').ok_value
+    empty = client.list_keys('zones/').ok_value
     standin.set_item('other', '')
-    found = client.wait_for_names('zones/', empty.revision, 0.05).ok_value
+    found = client.wait_for_key_changes(
+        'zones/', empty.revision, 0.05
+    ).ok_value
     case.assertGreater(found.revision, empty.revision)
 
 
 def test_names_are_reported_changed_after_dropped_history(case):
     client, standin = open_store(case)
     standin.faults.history = 10**6
-    found = client.wait_for_names('zones/', 3, 0.05)
+    found = client.wait_for_key_changes('zones/', 3, 0.05)
     case.assertEqual(found.ok_value.revision, 0)
--- a/packages/scheduler/portwharf/scheduler/configuration.py
+++ b/packages/scheduler/portwharf/scheduler/configuration.py
@@ -36,9 +36,9 @@
 _MAX_AMOUNT = 10**9
 
 _RESOURCES = {
-    voluptuous.Required('cpu_milli'): settings.whole(0, _MAX_AMOUNT),
-    voluptuous.Required('memory_mb'): settings.whole(0, _MAX_AMOUNT),
-    voluptuous.Optional('accelerators', default=0): settings.whole(0, 10**6),
+    voluptuous.Required('cpu_milli'): settings.integer(0, _MAX_AMOUNT),
+    voluptuous.Required('memory_mb'): settings.integer(0, _MAX_AMOUNT),
+    voluptuous.Optional('accelerators', default=0): settings.integer(0, 10**6),
 }
 SCHEMA = voluptuous.Schema(
     {
@@ -58,7 +58,7 @@
         },
         voluptuous.Optional('services', default=dict): {
             str: {
-                voluptuous.Required('target_ms'): settings.whole(1, 600_000),
+                voluptuous.Required('target_ms'): settings.integer(1, 600_000),
                 voluptuous.Required('target_ratio'): settings.number(
                     0.5, 0.99999
                 ),
--- a/packages/scheduler/portwharf/scheduler/crashloop.py
+++ b/packages/scheduler/portwharf/scheduler/crashloop.py
@@ -16,7 +16,7 @@
 from portwharf.scheduler import metrics
 from portwharf.scheduler import suspects
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class CrashLoopDetector:
@@ -131,6 +131,6 @@
         return [
             known[name]
             for name, since in self._running_since.items()
-            if (now - since) * _MS > suspects.STARTUP_MS
+            if (now - since) * _MS_PER_SECOND > suspects.STARTUP_MS
             and not self._members.is_silent(known[name].vm, now)
         ]
--- a/packages/scheduler/portwharf/scheduler/decider.py
+++ b/packages/scheduler/portwharf/scheduler/decider.py
@@ -63,10 +63,10 @@
         self.service_protection = service_protection.ServiceProtection(
             state, began
         )
-        self.runtimes = forecast.RunTimes()
+        self.runtimes = forecast.RunTimeModel()
         self.preparation = prepared_starts.PreparedStarts(state)
         self.rosters = rosters.RosterKeeper(state)
-        # ``placement.Waiting`` of the last pass, by workload id.
+        # ``placement.UnplacedWorkload`` of the last pass, by workload id.
         self.waiting = {}
         self._patience = pass_inputs.Patience()
         self._wait_log = decisionlog.WaitLog()
@@ -133,7 +133,7 @@
             )
             self._missing[name] = [(task.id, task.attempt) for task in missing]
             item.link.view.reported = True
-            self.service_protection.note_lost(name)
+            self.service_protection.record_lost_commands(name)
         for report in item.message.reports:
             self._record_health(name, report)
             if report.task in self._state.tasks:
@@ -142,7 +142,7 @@
             self._crashloops.record_report(name, report)
         batch.events.extend(verdict.events)
         decisionlog.log_successes(
-            name, verdict.events, self.runtimes.find_measured
+            name, verdict.events, self.runtimes.get_measured_ms
         )
         for event in verdict.events:
             if isinstance(event, events.TaskEnded):
@@ -201,7 +201,7 @@
                 if record is None or not record.workload.job:
                     continue
                 queue = self._state.jobs[record.workload.job].job.queue
-                self.runtimes.note(queue, record, one.run_ms)
+                self.runtimes.record_run_time(queue, record, one.run_ms)
 
     def _find_assigned_task(self, vm, task_id):
         """Return a task that a VM holds or has prepared, or None."""
@@ -244,7 +244,7 @@
         if not record.workload.gang or record.cancelled:
             return
         now_ms = self._env.clock.read_unix_ms()
-        for task in gangs.list_broken(record):
+        for task in gangs.list_members_to_stop(record):
             self._evict_task(task, pass_inputs.REASON_BROKEN, now_ms, batch)
 
     def _record_measures(self, item):
@@ -429,7 +429,7 @@
             views,
             quotas,
             now_ms,
-            self.service_protection.remedies.judge,
+            self.service_protection.remedies.predict_effect,
         )
         self.waiting = {one.record.id: one for one in done.waiting}
         self._patience.note(self.waiting, now)
@@ -442,7 +442,9 @@
             self._health.record_placement(placed.vm, now)
             task = self._state.tasks[placed.task]
             self._crashloops.record_placement(task)
-            self.service_protection.note_begun((task.id, task.attempt), now)
+            self.service_protection.record_placement(
+                (task.id, task.attempt), now
+            )
             command = reconcile.make_start(
                 self._state, task, placed.ticket, self.runtimes
             )
@@ -460,7 +462,7 @@
         stalled = task_moves.find_stalled_tasks(
             self._state,
             links,
-            self.service_protection.read_begun,
+            self.service_protection.get_placed_at,
             now,
             weigher,
         )
@@ -489,7 +491,7 @@
             return
         now = self._env.clock.read_monotonic()
         over = pass_inputs.find_over_quota(self._state, quotas)
-        for action in self.service_protection.find_room(
+        for action in self.service_protection.plan_evictions(
             done.ordered, views, over, now
         ):
             self._apply_action(action, batch)
@@ -556,10 +558,12 @@
             return
         self._next_drop_time = now + _DROP_INTERVAL_SECONDS
         now_ms = self._env.clock.read_unix_ms()
-        for workload_id in pass_inputs.find_old(self._state, now_ms):
+        for workload_id in pass_inputs.list_expired_workloads(
+            self._state, now_ms
+        ):
             self._apply_event(batch, events.WorkloadDropped(workload_id))
             self._health.drop_workload(workload_id)
-        for job_id in pass_inputs.find_old_jobs(self._state, now_ms):
+        for job_id in pass_inputs.list_expired_jobs(self._state, now_ms):
             self._apply_event(batch, events.JobDropped(job_id))
         self.runtimes.forget(self._state.unended)
 
--- a/packages/scheduler/portwharf/scheduler/decisionlog.py
+++ b/packages/scheduler/portwharf/scheduler/decisionlog.py
@@ -160,7 +160,8 @@
     def update(self, waiting, now):
         """Update what waits after a pass, and log new long waits.
 
-        :param waiting: map of a workload's id to its ``placement.Waiting``
+        :param waiting: map of a workload's id to its
+            ``placement.UnplacedWorkload``
         """
         self._waiting_since = {
             name: self._waiting_since.get(name, now) for name in waiting
@@ -185,8 +186,8 @@
     """
     if any(step.kind != data.Kind.BATCH for step in job.steps):
         return None
-    chain_ms = max(jobs.measure_chains(job.steps))
-    return int(jobs.find_objective(job, chain_ms))
+    chain_ms = max(jobs.compute_path_ms(job.steps))
+    return int(jobs.compute_objective_ms(job, chain_ms))
 
 
 def _describe_attempts(names):
--- a/packages/scheduler/portwharf/scheduler/decisionlog_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisionlog_test.py
@@ -39,7 +39,7 @@
     log = decisionlog.WaitLog()
     choice = vm_choice.Choice()
     choice.refusals['processors'] = 3
-    waits = {'a.0.0': placement.Waiting(None, 'no-room', choice)}
+    waits = {'a.0.0': placement.UnplacedWorkload(None, 'no-room', choice)}
     with case.assertLogs(LOGGER) as watched:
         for now in (0.0, 0.5, 1.0, 1.5):
             log.update(waits, now)
--- a/packages/scheduler/portwharf/scheduler/decisions/forecast.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/forecast.py
@@ -83,14 +83,14 @@
         return math.exp(weighted / (usual + stated))
 
 
-class RunTimes:
+class RunTimeModel:
     """Run times learnt from measurements; not thread-safe."""
 
     def __init__(self):
         self._queues = {}
         self._steps = {}
 
-    def note(self, queue, record, run_ms):
+    def record_run_time(self, queue, record, run_ms):
         """Record the measured run time of one task.
 
         :param queue: the name of its job's queue
@@ -128,7 +128,7 @@
         estimate_ms = record.workload.run_ms
         return model.predict(estimate_ms) if model else estimate_ms
 
-    def find_measured(self, workload):
+    def get_measured_ms(self, workload):
         """Return the median measured run time of a step's tasks, in ms.
 
         :param workload: the step's id
@@ -145,10 +145,10 @@
         self._steps = {n: s for n, s in self._steps.items() if n in live}
 
 
-class Estimates(RunTimes):
+class ClientEstimates(RunTimeModel):
     """Predicts by clients' estimates alone; a baseline for comparison."""
 
-    def note(self, queue, record, run_ms):
+    def record_run_time(self, queue, record, run_ms):
         """Ignore the measurement."""
 
 
@@ -176,13 +176,13 @@
     def __init__(self, state, runtimes=None):
         """Take the shard's ``state.ShardState``.
 
-        :param runtimes: a :class:`RunTimes`; clients' estimates if None
+        :param runtimes: a :class:`RunTimeModel`; clients' estimates if None
         """
         self._state = state
-        self._runtimes = runtimes or Estimates()
+        self._runtimes = runtimes or ClientEstimates()
         self._forecasts = {}
 
-    def look_at(self, record):
+    def get_step_forecast(self, record):
         """Return the :class:`StepForecast` of a job's step."""
         job_id, time, number = jobs.split_step_id(record.id)
         name = (job_id, time)
@@ -201,8 +201,8 @@
         steps = [self._state.workloads[name] for name in names]
         queue = job.job.queue
         run_ms = [self._runtimes.predict(queue, step) for step in steps]
-        chains = jobs.measure_chains(job.job.steps, run_ms)
-        objective_ms = jobs.find_objective(job.job, max(chains))
+        chains = jobs.compute_path_ms(job.job.steps, run_ms)
+        objective_ms = jobs.compute_objective_ms(job.job, max(chains))
         begin_ms = steps[0].not_before_ms or job.unix_ms
         late_ms = begin_ms + jobs.LATE_FACTOR * objective_ms
         left = sum(
--- a/packages/scheduler/portwharf/scheduler/decisions/gangs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/gangs.py
@@ -70,7 +70,7 @@
     )
 
 
-def end_others(record, event):
+def end_other_members(record, event):
     """Return the events that end the other members of a gang.
 
     :param record: the gang's ``state.WorkloadRecord``
@@ -85,7 +85,7 @@
     ]
 
 
-def list_broken(record):
+def list_members_to_stop(record):
     """Return the members of a broken gang that must be stopped."""
     return [
         task
--- a/packages/scheduler/portwharf/scheduler/decisions/gangs_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/gangs_test.py
@@ -147,7 +147,7 @@
 
 
 def test_gang_placed_in_part_is_caught(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_gang_is_placed_whole_or_not_at_all,
         placement,
--- a/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
@@ -23,7 +23,7 @@
 FIRST_PATIENCE_SECONDS = 1.5
 # The same for the remaining tasks of a step that has some placed: a task on a
 # slow VM would delay the step for longer than waiting for a better one.
-REST_PATIENCE_SECONDS = 8.0
+REMAINING_PATIENCE_SECONDS = 8.0
 _MS_PER_SECOND = 1000
 
 REASON_LOST = 'vm-lost'
@@ -51,7 +51,7 @@
                 or waited <= FIRST_PATIENCE_SECONDS
             ):
                 continue
-            if not demand.placed or waited > REST_PATIENCE_SECONDS:
+            if not demand.placed or waited > REMAINING_PATIENCE_SECONDS:
                 demand.accept_any_vm()
 
 
@@ -62,10 +62,10 @@
     :param views: list of ``vmview.VmView``; placed tasks are added to them
     :param quotas: map of team to Resources
     :param judge: as for ``placement.place_demands``
-    :returns: a ``placement.Pass``
+    :returns: a ``placement.PlacementResult``
     """
     if not demands:
-        return placement.Pass()
+        return placement.PlacementResult()
     team_quotas = backlog.Quotas(quotas, sum_by_team(state))
     return placement.place_demands(demands, views, team_quotas, now_ms, judge)
 
@@ -75,11 +75,11 @@
 
     :param list_avoided: function from a workload's id to the names of the VMs
         that it avoids
-    :param runtimes: a ``forecast.RunTimes``; clients' estimates, if None
+    :param runtimes: a ``forecast.RunTimeModel``; clients' estimates, if None
     """
     ready = [
         record
-        for record in state.list_unended()
+        for record in state.list_active()
         if _has_waiting(record)
         and record.not_before_ms <= now_ms
         and state.is_ready(record)
@@ -89,7 +89,7 @@
         backlog.Demand(
             record,
             list_avoided(record.id),
-            weigher.look_at(record),
+            weigher.get_step_forecast(record),
             weigher.weigh(record) if record.workload.fills else 0.0,
         )
         for record in ready
@@ -166,7 +166,7 @@
     }
 
 
-def find_old(state, now_ms):
+def list_expired_workloads(state, now_ms):
     """Return the ids of the ended workloads to drop from the state."""
     ended = [
         record
@@ -183,7 +183,7 @@
     ]
 
 
-def find_old_jobs(state, now_ms):
+def list_expired_jobs(state, now_ms):
     """Return the ids of the ended jobs to drop from the state."""
     ended = [
         record
@@ -200,7 +200,7 @@
     ]
 
 
-def pick_members(vms, shard):
+def list_endpoint_vms(vms, shard):
     """Return the endpoint VMs of a shard."""
     return [
         vm for vm in vms if vm.role == data.Role.ENDPOINT and vm.shard == shard
--- a/packages/scheduler/portwharf/scheduler/decisions/placement.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Waiting:
+class UnplacedWorkload:
     """Why a workload waits; :func:`explain_wait` makes a decision of it.
 
     :param record: its ``state.WorkloadRecord``
@@ -52,13 +52,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pass:
+class PlacementResult:
     """The result of one pass.
 
     :param ordered: the demands, in the order in which they were served
     :param placements: a :class:`Placement` for each placed task
-    :param waiting: a :class:`Waiting` for each demand that was not placed
-        in full
+    :param waiting: an :class:`UnplacedWorkload` for each demand that was not
+        placed in full
     :param judge: as for :func:`place_demands`
     :param hopeless: the failed ``vm_choice.Choice`` by shape of task. Room
         only shrinks during a pass, so that a second task of the shape is not
@@ -80,17 +80,18 @@
     :param quotas: a ``backlog.Quotas``
     :param now_ms: wall time, for the decisions
     :param judge: function that returns whether services keep their targets
-        beside one more task, and at what cost (``Remedies.judge``), or None
-    :returns: a :class:`Pass`
+        beside one more task, and at what cost (``Remedies.predict_effect``),
+        or None
+    :returns: a :class:`PlacementResult`
     """
-    result = Pass()
+    result = PlacementResult()
     result.judge = judge
     borrowers = []
     result.ordered = backlog.order_demands(demands, now_ms)
     for demand in result.ordered:
         failed = result.hopeless.get(_get_shape(demand))
         if failed is not None and demand.weight >= failed.weight:
-            waiting = Waiting(demand.record, failed.reason, failed)
+            waiting = UnplacedWorkload(demand.record, failed.reason, failed)
             result.waiting.append(waiting)
         elif not _place_demand(demand, views, quotas, now_ms, result):
             borrowers.append(demand)
@@ -149,14 +150,16 @@
         return _place_gang(demand, views, quotas, now_ms, result)
     while demand.tasks and len(result.placements) < backlog.MAX_PLACEMENTS:
         if not quotas.has_room(workload.team, workload.resources):
-            result.waiting.append(Waiting(demand.record, REASON_QUOTA))
+            result.waiting.append(
+                UnplacedWorkload(demand.record, REASON_QUOTA)
+            )
             return False
         choice = vm_choice.choose_vm(demand, views, result.judge)
         if choice.view is None:
             shape = _get_shape(demand)
             if shape is not None:
                 result.hopeless[shape] = choice
-            waiting = Waiting(demand.record, choice.reason, choice)
+            waiting = UnplacedWorkload(demand.record, choice.reason, choice)
             result.waiting.append(waiting)
             return True
         quotas.reserve(workload.team, workload.resources)
@@ -175,12 +178,12 @@
         return True
     size = gangs.sum_sizes(workload)
     if not quotas.has_room(workload.team, size):
-        result.waiting.append(Waiting(demand.record, REASON_QUOTA))
+        result.waiting.append(UnplacedWorkload(demand.record, REASON_QUOTA))
         return False
     choices = gangs.choose_vms(demand, views, result.judge)
     failed = choices[-1]
     if failed.view is None:
-        waiting = Waiting(demand.record, failed.reason, failed)
+        waiting = UnplacedWorkload(demand.record, failed.reason, failed)
         result.waiting.append(waiting)
         return True
     quotas.reserve(workload.team, size)
--- a/packages/scheduler/portwharf/scheduler/decisions/precedence.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/precedence.py
@@ -64,20 +64,21 @@
     def __init__(self, state, now_ms, runtimes=None):
         """Take the shard's ``state.ShardState`` and the wall time.
 
-        :param runtimes: a ``forecast.RunTimes``; clients' estimates if None
+        :param runtimes: a ``forecast.RunTimeModel``; None for the clients'
+            estimates
         """
         self._now_ms = now_ms
         self._forecast = forecast.Forecast(state, runtimes)
 
-    def look_at(self, record):
+    def get_step_forecast(self, record):
         """Return a step's ``forecast.StepForecast``, empty without a job."""
         if not record.workload.job:
             return forecast.StepForecast()
-        return self._forecast.look_at(record)
+        return self._forecast.get_step_forecast(record)
 
     def make_claim(self, record):
         """Return the :class:`Claim` of a step's tasks."""
-        found = self.look_at(record)
+        found = self.get_step_forecast(record)
         end_ms = int(found.begin_ms + found.run_ms)
         return Claim(
             found.left / _MILLI_MS_PER_CPU_SECOND, end_ms, int(found.late_ms)
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies.py
@@ -3,10 +3,10 @@
 """Throttles and evicts batch tasks that put services' targets at risk.
 
 The remedies escalate: nothing more is placed beside the service (placement
-asks :meth:`Remedies.judge`); then the task that slows it most, relative to the
-cost of stopping that task, is throttled; then it is evicted. After each action
-measurements get time to show its effect. Evictions are rate-limited for the
-whole shard.
+asks :meth:`Remedies.predict_effect`); then the task that slows it most,
+relative to the cost of stopping that task, is throttled; then it is evicted.
+After each action measurements get time to show its effect. Evictions are
+rate-limited for the whole shard.
 """
 
 import collections
@@ -112,7 +112,7 @@
         return True
 
 
-class Peaks:
+class PeakLoadTracker:
     """Tracks peak loads, which decay with time."""
 
     def __init__(self):
@@ -153,7 +153,7 @@
             1.0, weights.evictions
         )
 
-    def judge(self, services, kinds, kind):
+    def predict_effect(self, services, kinds, kind):
         """Predict the effect of placing one more task beside services.
 
         :param services: list of :class:`ServiceView` on the VM
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
@@ -134,15 +134,15 @@
 
 def test_placement_is_judged_at_the_peak_load(case):
     policy = make_remedies(bad=0.2, good=0.0)
-    case.assertTrue(policy.judge([SERVICE], {}, 'bad')[0])
-    case.assertFalse(policy.judge([SERVICE], {'bad': 2}, 'bad')[0])
-    case.assertTrue(policy.judge([SERVICE], {'bad': 9}, 'good')[0])
+    case.assertTrue(policy.predict_effect([SERVICE], {}, 'bad')[0])
+    case.assertFalse(policy.predict_effect([SERVICE], {'bad': 2}, 'bad')[0])
+    case.assertTrue(policy.predict_effect([SERVICE], {'bad': 9}, 'good')[0])
     free = remedies.ServiceView('lens/none', 0.5, 0.5, 0.0)
-    case.assertTrue(policy.judge([free], {'bad': 9}, 'bad')[0])
+    case.assertTrue(policy.predict_effect([free], {'bad': 9}, 'bad')[0])
 
 
 def test_peaks_decay(case):
-    peaks = remedies.Peaks()
+    peaks = remedies.PeakLoadTracker()
     peaks.note('x', 0.8, 0.0)
     case.assertGreater(peaks.note('x', 0.1, 1.0), 0.79)
     late = 1.0 + 2 * remedies.PEAK_HALF_LIFE_SECONDS
--- a/packages/scheduler/portwharf/scheduler/decisions/service_protection.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/service_protection.py
@@ -43,7 +43,7 @@
         self.model = interference.Model()
         self.remedies = remedies.Remedies(self.model)
         self._timeline = interference.Timeline()
-        self._peaks = remedies.Peaks()
+        self._peaks = remedies.PeakLoadTracker()
         self._service_views = collections.defaultdict(dict)
         self._measured_at = {}
         self._placed_at = {}
@@ -53,7 +53,7 @@
         self._throttled = set()
         self._unthrottled = set()
 
-    def note_begun(self, attempt, now):
+    def record_placement(self, attempt, now):
         """Record that an attempt was placed.
 
         :param attempt: (task id, attempt number)
@@ -61,14 +61,14 @@
         self._placed_at[attempt] = now
         self._unthrottled.add(attempt)
 
-    def note_lost(self, vm):
+    def record_lost_commands(self, vm):
         """Record that commands to a VM may have been lost."""
         held = self._state.held[vm].values()
         attempts = {(task.id, task.attempt) for task in held}
         self._throttled -= attempts
         self._unthrottled -= attempts
 
-    def read_begun(self, attempt):
+    def get_placed_at(self, attempt):
         """Return when an attempt was placed, or else when the owner began.
 
         :param attempt: (task id, attempt number)
@@ -171,7 +171,7 @@
                 actions.append(action)
         return actions
 
-    def find_room(self, demands, views, over_quota, now):
+    def plan_evictions(self, demands, views, over_quota, now):
         """Return evictions that make room for more important work.
 
         Urgent work and services displace any batch work that is not urgent;
--- a/packages/scheduler/portwharf/scheduler/decisions/task_moves.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/task_moves.py
@@ -90,11 +90,12 @@
         return {task: vm for task, (vm, _) in self._moved.items()}
 
 
-def find_stalled_tasks(state, links, read_begun, now, weigher=None):
+def find_stalled_tasks(state, links, get_placed_at, now, weigher=None):
     """Return the stalled filling tasks, the slowest first.
 
     :param links: list of ``members.MemberLink``
-    :param read_begun: function from (task id, attempt) to when it was placed
+    :param get_placed_at: function from (task id, attempt) to when it was
+        placed
     :param weigher: a ``precedence.Weigher``; without one all tasks rank last
     :returns: list of :class:`StalledTask`
     """
@@ -107,7 +108,7 @@
                 continue
             if task.state != data.TaskState.PLACED:
                 continue
-            running_seconds = now - read_begun((task.id, task.attempt))
+            running_seconds = now - get_placed_at((task.id, task.attempt))
             if (
                 paced.percent > MAX_STALLED_PERCENT
                 or running_seconds < MIN_RUNNING_SECONDS
--- a/packages/scheduler/portwharf/scheduler/decisions/task_moves_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/task_moves_test.py
@@ -102,7 +102,7 @@
     restarted side and its next.
     """
     view = make_view()
-    view.count_fill(data.Workload(resources=SIZE, image='desk', target_ms=20))
+    view.add_usage(data.Workload(resources=SIZE, image='desk', target_ms=20))
     case.assertEqual(
         task_moves.choose_moves(find_stalled_tasks(3), [view]), []
     )
--- a/packages/scheduler/portwharf/scheduler/decisions/vmview.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vmview.py
@@ -85,7 +85,7 @@
 
     def __post_init__(self):
         self.rack = self.rack or self.vm.rack
-        self.largest = self.largest.cover(self.capacity)
+        self.largest = self.largest.max_with(self.capacity)
 
     def copy(self):
         """Return a copy on which placements can be tried."""
@@ -108,7 +108,7 @@
         unused_milli = self.serving_milli * (1 - SERVING_UTILIZATION)
         return int(self.reserved.cpu_milli - unused_milli + self.filling_milli)
 
-    def count_fill(self, workload):
+    def add_usage(self, workload):
         """Add the processors of one filling or serving task."""
         size = workload.resources.cpu_milli
         if workload.fills:
@@ -121,7 +121,7 @@
                 workload.image, tail_interference.DEFAULT_HEADROOM
             )
 
-    def take_pairs(self, pairs, headrooms):
+    def set_headrooms(self, pairs, headrooms):
         """Set the presses, and the headrooms from ``messages.Headroom``."""
         self.pairs = pairs
         self.headrooms = {
@@ -188,4 +188,4 @@
                 self.headrooms[serving] -= press * share * pace
             self.note_filling(workload, weight, pace)
         self.reserved = self.reserved.add(workload.reserved)
-        self.count_fill(workload)
+        self.add_usage(workload)
--- a/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
@@ -40,11 +40,11 @@
 from portwharf.side import task_traits_test
 from portwharf.side import unconfirmed
 
-check = faults_test.check
+check_fault_detected = faults_test.check_fault_detected
 
 
 def test_step_started_before_its_dependencies_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         jobs_test.test_step_waits_until_all_before_it_have_succeeded,
         state.ShardState,
@@ -54,7 +54,7 @@
 
 
 def test_lost_attempts_counted_as_failures_are_caught(case):
-    check(
+    check_fault_detected(
         case,
         jobs_test.test_lost_attempts_do_not_count_as_failures,
         reconcile,
@@ -64,7 +64,7 @@
 
 
 def test_unlimited_attempts_are_caught(case):
-    check(
+    check_fault_detected(
         case,
         jobs_test.test_job_fails_only_with_its_last_attempt,
         reconcile,
@@ -74,7 +74,7 @@
 
 
 def test_restarted_cancelled_task_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         jobs_test.test_unlisted_unwanted_task_is_stopped,
         reconcile,
@@ -84,13 +84,13 @@
 
 
 def test_occurrence_that_starts_early_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         jobs_test.test_occurrences_become_due_one_by_one,
         pass_inputs,
         'list_demands',
         lambda made, avoided, now_ms: [
-            backlog.Demand(record) for record in made.list_unended()
+            backlog.Demand(record) for record in made.list_active()
         ],
     )
 
@@ -101,7 +101,7 @@
         self.unlogged_job_ends.clear()
 
     original = decider.Decider._handle_task_end
-    check(
+    check_fault_detected(
         case,
         jobs_test.test_end_is_not_shown_before_it_is_in_the_log,
         decider.Decider,
@@ -118,7 +118,7 @@
             view.reported = True
         return original(self, task, view, *more)
 
-    check(
+    check_fault_detected(
         case,
         prepared_starts_test.test_prepared_task_is_kept_until_its_side_reports,
         prepared_starts.PreparedStarts,
@@ -128,7 +128,7 @@
 
 
 def test_unanswered_start_reported_gone_at_once_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         loss_reporter_test.test_start_is_not_gone_while_its_stop_is_unanswered,
         unconfirmed.UnconfirmedCommands,
@@ -138,7 +138,7 @@
 
 
 def test_forgotten_previous_life_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         loss_reporter_test.test_attempt_of_an_earlier_incarnation_is_gone,
         unconfirmed.UnconfirmedCommands,
@@ -148,7 +148,7 @@
 
 
 def test_unreported_vanished_attempt_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         loss_reporter_test.test_absent_worker_runs_nothing,
         agent.Agent,
@@ -164,7 +164,7 @@
         self._listing.draining = False
         return original(self, message, known)
 
-    check(
+    check_fault_detected(
         case,
         loss_reporter_test.test_leaving_worker_takes_no_starts,
         agent.Agent,
@@ -174,7 +174,7 @@
 
 
 def test_ignored_latency_over_its_target_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         pacing_test.test_missed_target_throttles_all_filling_tasks,
         pacing.Pacer,
@@ -184,7 +184,7 @@
 
 
 def test_move_without_improvement_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         task_moves_test.test_nothing_moves_where_it_would_work_no_better,
         vmview.VmView,
@@ -194,7 +194,7 @@
 
 
 def test_move_right_after_the_start_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         task_moves_test.test_task_that_has_just_begun_stays,
         task_moves,
@@ -204,7 +204,7 @@
 
 
 def test_lost_store_answer_taken_for_a_refusal_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         store_client_test.test_lost_answer_is_unknown_and_a_refusal_is_not,
         store_client,
@@ -219,7 +219,7 @@
             self._listed.pop(number)
             self.acked = number
 
-    check(
+    check_fault_detected(
         case,
         runner_test.test_ends_stay_until_they_are_logged_in_order,
         ended_attempts.EndedAttempts,
@@ -234,7 +234,7 @@
         runner_restart_test.test_end_under_a_reused_id_is_reported_at_once,
     ):
         kept = ended_attempts.EndedAttempts()
-        check(
+        check_fault_detected(
             case, test, ended_attempts, 'EndedAttempts', lambda kept=kept: kept
         )
 
@@ -243,7 +243,7 @@
     def is_same(one, other):
         return other is not None and one.instance == other.instance
 
-    check(
+    check_fault_detected(
         case,
         worker_restarts_test.test_restarts_under_one_id_are_separate_crashes,
         data.IncarnationId,
@@ -253,7 +253,7 @@
 
 
 def test_ignored_birth_number_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         runner_restart_test.test_lives_under_one_id_are_told_apart,
         heartbeats,
@@ -269,7 +269,7 @@
         self._reach(way)
         return way.order(path, body, seconds)
 
-    check(
+    check_fault_detected(
         case,
         runner_restart_test.test_orders_do_not_reach_the_next_incarnation,
         runner.RunnerWorker,
@@ -279,7 +279,7 @@
 
 
 def test_fencing_token_shared_by_lives_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         runner_restart_test.test_late_order_is_refused_by_the_next_incarnation,
         runner_connection.FencingTokens,
@@ -289,7 +289,7 @@
 
 
 def test_unknown_outcome_reported_as_not_run_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         job_api_test.test_refusals_say_what_is_true,
         job_api,
@@ -307,7 +307,7 @@
             return result.Ok(runner.workers.Listing(absent=True))
         return answer
 
-    check(
+    check_fault_detected(
         case,
         runner_test.test_new_life_is_never_told_of_the_old_ones_numbers,
         runner.RunnerWorker,
@@ -317,7 +317,7 @@
 
 
 def test_side_without_its_held_tasks_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         task_traits_test.test_restarted_side_throttles_beside_earlier_servers,
         reconcile,
@@ -327,17 +327,17 @@
 
 
 def test_forgotten_share_of_a_previous_side_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         task_traits_test.test_restarted_side_releases_an_earlier_throttle,
         pacing.Pacer,
-        'note_held',
-        pacing.Pacer.note_start,
+        'record_held',
+        pacing.Pacer.record_start,
     )
 
 
 def test_dropped_running_task_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         pacing_test.test_running_server_is_not_evicted_from_the_traits_cache,
         bounded_cache.BoundedCache,
@@ -347,7 +347,7 @@
 
 
 def test_filling_task_that_is_never_paused_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         pacing_test.test_filling_tasks_are_suspended_after_a_long_target_miss,
         pacing.Pacer,
--- a/packages/scheduler/portwharf/scheduler/faults_silent_sides_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_silent_sides_test.py
@@ -17,7 +17,7 @@
 
 def test_commands_answered_before_the_first_look(case):
     """A task that still runs is reported gone, and runs on two workers."""
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         silent_sides_test.test_task_is_not_moved_while_it_may_run_on,
         worker_monitor.WorkerMonitor,
@@ -27,27 +27,27 @@
 
 
 def test_leases_from_before_a_restart_not_waited_for(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         silent_sides_test.test_side_that_restarts_beside_a_silent_worker,
         leases.LeaseKeeper,
-        'have_lapsed',
+        'have_all_expired',
         lambda self, now: True,
     )
 
 
 def test_silent_worker_never_given_up(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         silent_sides_test.test_owner_that_changes_while_a_worker_is_silent,
         leases.LeaseKeeper,
-        'have_lapsed',
+        'have_all_expired',
         lambda self, now: False,
     )
 
 
 def test_only_silent_vms_given_up(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         silent_sides_test.test_side_that_restarts_cut_off_from_the_store,
         decider.Decider,
@@ -57,7 +57,7 @@
 
 
 def test_unanswered_starts_kept_for_ever(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         worker_monitor_test.test_unanswered_start_is_gone_with_its_lease,
         unconfirmed.UnconfirmedCommands,
@@ -72,7 +72,7 @@
         self.view.granted = False
 
     name = 'test_report_of_an_ended_connection_is_ignored'
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         getattr(silent_sides_test, name),
         members.MemberLink,
--- a/packages/scheduler/portwharf/scheduler/faults_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_test.py
@@ -42,7 +42,7 @@
     return False
 
 
-def check(case, test, cls, name, replacement):
+def check_fault_detected(case, test, cls, name, replacement):
     """Check that a test passes, and fails when a rule is replaced."""
     case.assertFalse(fails(test))
     with mock.patch.object(cls, name, replacement):
@@ -50,7 +50,7 @@
 
 
 def test_epoch_of_commands_not_checked(case):
-    check(
+    check_fault_detected(
         case,
         agent_test.test_command_of_a_former_owner_is_refused,
         guard.GrantGuard,
@@ -64,7 +64,7 @@
         self._owner = name
         return True
 
-    check(
+    check_fault_detected(
         case,
         grants_test.test_former_owner_is_rejected,
         guard.GrantGuard,
@@ -74,7 +74,7 @@
 
 
 def test_grants_without_a_majority(case):
-    check(
+    check_fault_detected(
         case,
         ownership_test.test_owner_cut_off_from_all_stops_its_own_tasks,
         grants.GrantTable,
@@ -84,7 +84,7 @@
 
 
 def test_no_wait_before_a_second_attempt(case):
-    check(
+    check_fault_detected(
         case,
         ownership_test.test_tasks_of_a_silent_vm_run_again_after_its_leases,
         grants.GrantTable,
@@ -103,7 +103,9 @@
         made.run(20)
 
     wait = property(lambda self: 0.0)
-    check(case, scenario, limits.Limits, 'replace_after_grant', wait)
+    check_fault_detected(
+        case, scenario, limits.Limits, 'replace_after_grant', wait
+    )
 
 
 def test_no_wait_for_grants_of_former_owners(case):
@@ -117,7 +119,9 @@
         made.run(12)
 
     wait = property(lambda self: 0.0)
-    check(case, scenario, limits.Limits, 'replace_after_majority', wait)
+    check_fault_detected(
+        case, scenario, limits.Limits, 'replace_after_majority', wait
+    )
 
 
 def test_commands_of_ended_connections_obeyed(case):
@@ -127,7 +131,7 @@
         return original(self, command)
 
     original = agent.Agent._execute
-    check(
+    check_fault_detected(
         case,
         agent_test.test_command_of_an_ended_connection_is_dropped,
         agent.Agent,
@@ -137,7 +141,7 @@
 
 
 def test_commands_accepted_before_the_epoch_is_read(case):
-    check(
+    check_fault_detected(
         case,
         grants_test.test_restarted_side_accepts_no_epoch_and_no_grant,
         guard.GrantGuard,
@@ -147,7 +151,7 @@
 
 
 def test_refused_attempts_started_later(case):
-    check(
+    check_fault_detected(
         case,
         ownership_test.test_refused_attempt_is_final,
         agent.Agent,
@@ -157,7 +161,7 @@
 
 
 def test_capacity_not_checked_at_the_side(case):
-    check(
+    check_fault_detected(
         case,
         agent_test.test_vm_is_never_given_more_than_it_holds,
         agent.Agent,
@@ -172,7 +176,7 @@
         return original(self, batch)
 
     original = shardlog.ShardLog.append
-    check(
+    check_fault_detected(
         case,
         shardlog_test.test_trimmed_number_is_not_free_for_a_former_owner,
         shardlog.ShardLog,
@@ -182,7 +186,7 @@
 
 
 def test_unconfirmed_append_treated_as_done(case):
-    check(
+    check_fault_detected(
         case,
         shardlog_test.test_second_writer_deposes_the_first,
         shardlog.ShardLog,
@@ -199,7 +203,7 @@
         return original(self, key)
 
     original = shardlog.ShardLog._read_back
-    check(
+    check_fault_detected(
         case,
         shardlog_test.test_lost_answer_counts_as_ours,
         shardlog.ShardLog,
@@ -209,7 +213,7 @@
 
 
 def test_leases_renewed_without_a_grant(case):
-    check(
+    check_fault_detected(
         case,
         agent_test.test_exclusive_tasks_are_stopped_without_a_grant,
         guard.GrantGuard,
@@ -219,17 +223,17 @@
 
 
 def test_lease_end_not_bound_to_the_grant(case):
-    check(
+    check_fault_detected(
         case,
         agent_test.test_leases_end_after_the_grant,
         leases.LeaseKeeper,
-        'compute_end',
+        'compute_lease_end_ms',
         lambda self: self._listing.now_ms + 10_000,
     )
 
 
 def test_results_of_former_attempts_accepted(case):
-    check(
+    check_fault_detected(
         case,
         reconcile_test.test_late_success_of_a_former_attempt_is_dropped,
         reconcile,
@@ -248,7 +252,7 @@
         batch.after_commit = []
 
     original = decider.Decider._process_reports
-    check(
+    check_fault_detected(
         case,
         ownership_test.test_result_survives_an_outage_and_its_owner,
         decider.Decider,
@@ -281,7 +285,7 @@
         made.submit(2)
         made.settle(30)
 
-    check(
+    check_fault_detected(
         case,
         scenario,
         pass_inputs,
@@ -291,7 +295,7 @@
 
 
 def test_entries_not_limited_in_size(case):
-    check(
+    check_fault_detected(
         case,
         ownership_test.test_large_submissions_are_split_into_entries,
         shardlog,
--- a/packages/scheduler/portwharf/scheduler/jobs.py
+++ b/packages/scheduler/portwharf/scheduler/jobs.py
@@ -80,7 +80,7 @@
     return made
 
 
-def measure_chains(steps, run_ms=None):
+def compute_path_ms(steps, run_ms=None):
     """Return how long it takes from each step to the end of the job.
 
     :param run_ms: how long a task of each step runs; by default as estimated
@@ -96,7 +96,7 @@
     return chains
 
 
-def find_objective(job, chain_ms):
+def compute_objective_ms(job, chain_ms):
     """Return the time in ms within which a job should end.
 
     :param chain_ms: length of the job's critical path
--- a/packages/scheduler/portwharf/scheduler/jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/jobs_test.py
@@ -129,8 +129,8 @@
 def test_step_deadline_leaves_time_for_dependent_steps(case):
     made = accept()
     predicted = forecast.Forecast(made)
-    first = predicted.look_at(made.workloads[FIRST])
-    second = predicted.look_at(made.workloads[SECOND])
+    first = predicted.get_step_forecast(made.workloads[FIRST])
+    second = predicted.get_step_forecast(made.workloads[SECOND])
     case.assertEqual(first.begin_ms, NOW + 2000 - 1000)
     case.assertEqual(second.begin_ms, NOW + 2000 - 500)
 
@@ -220,7 +220,7 @@
 def test_step_that_waited_long_is_placed_on_any_vm(case):
     made = accept(make_step(fills=True, image='plan'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
-    view.take_pairs(
+    view.set_headrooms(
         tail_interference.TailInterferenceModel(),
         [messages.Headroom('desk', 0.0)],
     )
@@ -239,14 +239,14 @@
     made = accept(make_step(2, fills=True, image='plan'))
     made.apply(events.TaskPlaced(f'{FIRST}.0', 1, 'vm-2'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
-    view.take_pairs(
+    view.set_headrooms(
         tail_interference.TailInterferenceModel(),
         [messages.Headroom('desk', 0.0)],
     )
     patience = pass_inputs.Patience()
     patience.note({FIRST}, 0.0)
     placed = []
-    for now in (2.0, pass_inputs.REST_PATIENCE_SECONDS + 1):
+    for now in (2.0, pass_inputs.REMAINING_PATIENCE_SECONDS + 1):
         demands = pass_inputs.list_demands(made, lambda _: frozenset(), NOW)
         patience.apply(demands, now)
         done = pass_inputs.plan(made, demands, [view], {}, NOW)
@@ -257,7 +257,7 @@
 def test_job_that_stands_still_gets_one_task_beyond_the_processors(case):
     made = accept(make_step(3, fills=True, image='plan'))
     view = vmview.VmView(data.Vm('vm-1'), data.Resources(9000, 9000))
-    view.take_pairs(tail_interference.TailInterferenceModel(), [])
+    view.set_headrooms(tail_interference.TailInterferenceModel(), [])
     view.filling_milli = 9000
     (demand,) = pass_inputs.list_demands(made, lambda _: frozenset(), NOW)
     done = pass_inputs.plan(made, [demand], [view], {}, NOW)
--- a/packages/scheduler/portwharf/scheduler/limits.py
+++ b/packages/scheduler/portwharf/scheduler/limits.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 # Largest difference in speed between two monotonic clocks, as a share.
-DRIFT = 0.03
+MAX_CLOCK_DRIFT = 0.03
 # Share of the silence before a takeover; the rest is left for redialling.
 OWNER_IDLE_SHARE = 0.75
 
@@ -53,19 +53,19 @@
     @property
     def lapse_after_majority(self):
         """Wait until no grant of a former owner can be valid."""
-        return (self.confirm + self.guard) * (1 + DRIFT)
+        return (self.confirm + self.guard) * (1 + MAX_CLOCK_DRIFT)
 
     @property
     def lapse_after_grant(self):
         """Wait until the last grant of an owner itself is not valid."""
-        return self.guard * (1 + DRIFT)
+        return self.guard * (1 + MAX_CLOCK_DRIFT)
 
     @property
     def replace_after_majority(self):
         """Wait between the first majority of an owner and a second attempt."""
-        return (self.confirm + self.guard + self.lease) * (1 + DRIFT)
+        return (self.confirm + self.guard + self.lease) * (1 + MAX_CLOCK_DRIFT)
 
     @property
     def replace_after_grant(self):
         """Wait between the last grant of an owner and a second attempt."""
-        return (self.guard + self.lease) * (1 + DRIFT)
+        return (self.guard + self.lease) * (1 + MAX_CLOCK_DRIFT)
--- a/packages/scheduler/portwharf/scheduler/members.py
+++ b/packages/scheduler/portwharf/scheduler/members.py
@@ -126,7 +126,7 @@
         view = self.view
         view.heard = self._owner.read_clock()
         view.capacity = beat.capacity
-        view.largest = view.largest.cover(beat.capacity)
+        view.largest = view.largest.max_with(beat.capacity)
         view.draining = beat.draining
         view.pool = beat.pool
         view.labels = beat.labels
--- a/packages/scheduler/portwharf/scheduler/membership.py
+++ b/packages/scheduler/portwharf/scheduler/membership.py
@@ -52,7 +52,7 @@
         :param service_protection: a
             ``service_protection.ServiceProtection`` of the shard's workers
         :param pairs: a ``tail_interference.TailInterferenceModel``, or None
-        :param runtimes: a ``forecast.RunTimes``, or None
+        :param runtimes: a ``forecast.RunTimeModel``, or None
         """
         self._pairs = pairs
         self._runtimes = runtimes
@@ -160,7 +160,7 @@
             view.labels = link.view.labels
             view.rack = link.view.rack or view.rack
             view.life = link.view.life
-            view.take_pairs(self._pairs, link.view.headrooms)
+            view.set_headrooms(self._pairs, link.view.headrooms)
             self._add_fill(link, view, weigher)
             self._add_suspects(view)
             view.closed = self._find_closed_reason(
@@ -178,7 +178,7 @@
         }
         for task in self._state.held[link.name].values():
             record = self._state.find_workload(task.id)
-            view.count_fill(record.workload)
+            view.add_usage(record.workload)
             if record.workload.fills:
                 percent = pace_percents.get((task.id, task.attempt), 100)
                 weight = weigher.weigh(record)
@@ -217,7 +217,7 @@
         self._next_list_read = now + VM_LIST_INTERVAL_SECONDS
         answer = self._env.vmlist.read()
         if answer.is_ok():
-            self._unprocessed_vms = pass_inputs.pick_members(
+            self._unprocessed_vms = pass_inputs.list_endpoint_vms(
                 answer.ok_value, self._env.shard
             )
 
--- a/packages/scheduler/portwharf/scheduler/operations.py
+++ b/packages/scheduler/portwharf/scheduler/operations.py
@@ -291,7 +291,7 @@
 def view_workload(state, record, views):
     """Return a workload as :class:`WorkloadView`."""
     counts = state.count_states(record)
-    running = sum(counts[held] for held in data.HELD_STATES)
+    running = sum(counts[held] for held in data.RESERVING_STATES)
     problem = placement.check_placeable(record.workload, views)
     return WorkloadView(
         record.id,
@@ -333,7 +333,7 @@
 def explain(state, query, waiting, now_ms):
     """Return the decisions about a workload, a task or a refused submission.
 
-    :param waiting: ``placement.Waiting`` of waiting workloads, by id
+    :param waiting: ``placement.UnplacedWorkload`` of waiting workloads, by id
     :returns: Ok(Explanation), or Err(Problem)
     """
     explanation = Explanation(query.id, decisions=state.history.find(query.id))
--- a/packages/scheduler/portwharf/scheduler/operations_test.py
+++ b/packages/scheduler/portwharf/scheduler/operations_test.py
@@ -135,7 +135,9 @@
 def test_explain_includes_why_a_job_waits(case):
     made = state.ShardState()
     job = accept(made)
-    reason = placement.Waiting(made.workloads[job], placement.REASON_QUOTA)
+    reason = placement.UnplacedWorkload(
+        made.workloads[job], placement.REASON_QUOTA
+    )
     found = operations.explain(
         made, operations.Query(job), {job: reason}, 9
     ).ok_value
--- a/packages/scheduler/portwharf/scheduler/operator_api.py
+++ b/packages/scheduler/portwharf/scheduler/operator_api.py
@@ -159,7 +159,7 @@
         for record in self._state.workloads.values():
             counts = self._state.count_states(record)
             report.waiting += counts[data.TaskState.WAITING]
-            report.running += sum(counts[s] for s in data.HELD_STATES)
+            report.running += sum(counts[s] for s in data.RESERVING_STATES)
         for team, used in pass_inputs.sum_by_team(self._state).items():
             report.teams.append(operations.TeamUse(team, used))
         for view in views:
--- a/packages/scheduler/portwharf/scheduler/owner.py
+++ b/packages/scheduler/portwharf/scheduler/owner.py
@@ -42,7 +42,7 @@
 _TICK_SECONDS = 0.5
 _RETRY_SECONDS = 0.2
 _MAX_RETRY_SECONDS = 0.4
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class Owner:
@@ -183,7 +183,9 @@
         now = self.read_clock()
         valid = side_ms > 0 and not self.deposed.is_set()
         valid = valid and self._grants.grant(member, now)
-        return messages.Grant(side_ms, int(now * _MS), self.epoch, valid)
+        return messages.Grant(
+            side_ms, int(now * _MS_PER_SECOND), self.epoch, valid
+        )
 
     def make_zones(self):
         """Return the closed availability zones, as a message for a side."""
@@ -217,7 +219,9 @@
             self._decider.rosters.record_ack(member, beat.roster_seq)
         if beat.epoch == self.epoch and beat.owner_ms:
             now = self.read_clock()
-            self._grants.record_ack(member, beat.owner_ms / _MS, now)
+            self._grants.record_ack(
+                member, beat.owner_ms / _MS_PER_SECOND, now
+            )
 
     def send_config(self):
         """Send the configuration in force to all sides."""
--- a/packages/scheduler/portwharf/scheduler/policy.py
+++ b/packages/scheduler/portwharf/scheduler/policy.py
@@ -29,7 +29,7 @@
 # A ticket is used only during this fraction of its validity: the start has to
 # arrive before it expires.
 _USABLE_FRACTION = 0.9
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -126,7 +126,9 @@
             if not unknown:
                 return
             self._pending[step] = _Query(
-                step, unknown[:MAX_WORKERS_PER_QUERY], ticket_ms / _MS
+                step,
+                unknown[:MAX_WORKERS_PER_QUERY],
+                ticket_ms / _MS_PER_SECOND,
             )
             self._lock.notify()
 
--- a/packages/scheduler/portwharf/scheduler/policy_test.py
+++ b/packages/scheduler/portwharf/scheduler/policy_test.py
@@ -131,7 +131,7 @@
 
 
 def test_starts_without_a_ticket_are_caught(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_step_waits_for_the_policy_and_carries_its_ticket,
         vm_choice,
--- a/packages/scheduler/portwharf/scheduler/reconcile.py
+++ b/packages/scheduler/portwharf/scheduler/reconcile.py
@@ -88,7 +88,7 @@
     """Return the command that starts a placed task's attempt.
 
     :param ticket: the policy's ticket for its worker, or ''
-    :param runtimes: a ``forecast.RunTimes``, or None to use clients'
+    :param runtimes: a ``forecast.RunTimeModel``, or None to use clients'
         estimates
     """
     record = state.find_workload(task.id)
@@ -214,7 +214,7 @@
     if not record.workload.gang or not isinstance(ended, events.TaskEnded):
         return
     if ended.state == data.TaskState.SUCCEEDED:
-        for event in gangs.end_others(record, ended):
+        for event in gangs.end_other_members(record, ended):
             _add(state, verdict, event)
 
 
--- a/packages/scheduler/portwharf/scheduler/request_homes.py
+++ b/packages/scheduler/portwharf/scheduler/request_homes.py
@@ -9,5 +9,5 @@
     """Return the VM that is a request's home by a roster, or ''."""
     for one in roster.services:
         if one.service == service and one.members:
-            return ids.rank_by_rendezvous(request, one.members)[0]
+            return ids.rank_by_rendezvous_hash(request, one.members)[0]
     return ''
--- a/packages/scheduler/portwharf/scheduler/snapshot_size_test.py
+++ b/packages/scheduler/portwharf/scheduler/snapshot_size_test.py
@@ -62,10 +62,12 @@
     case.assertEqual(restored.tasks, {})
     case.assertEqual(restored.find_job_state(done), data.JobState.COMPLETED)
     case.assertEqual(restored.find_job_state(failed), data.JobState.FAILED)
-    case.assertEqual(restored.list_unended(), [])
+    case.assertEqual(restored.list_active(), [])
     predicted = forecast.Forecast(restored)
     for name in restored.jobs[done].steps:
-        case.assertEqual(predicted.look_at(restored.workloads[name]).left, 0)
+        case.assertEqual(
+            predicted.get_step_forecast(restored.workloads[name]).left, 0
+        )
     for name in (done, failed):
         made.apply(events.JobDropped(name))
         restored.apply(events.JobDropped(name))
--- a/packages/scheduler/portwharf/scheduler/state.py
+++ b/packages/scheduler/portwharf/scheduler/state.py
@@ -165,7 +165,7 @@
             counts[data.TaskState.WAITING] += unplaced
         return counts
 
-    def list_unended(self):
+    def list_active(self):
         """Return the workloads that may still have tasks to run."""
         for workload_id, record in list(self.unended.items()):
             if self.has_ended(record):
@@ -267,7 +267,7 @@
                 state.tasks[task.id] = task
                 if task.crashes:
                     state.suspects[task.id] = task
-                if task.state in data.HELD_STATES:
+                if task.state in data.RESERVING_STATES:
                     state._reserve(record, task)
                 elif task.state == data.TaskState.PREPARED:
                     state.prepared[task.vm][task.id] = task
--- a/packages/scheduler/portwharf/scheduler/step_placement_test.py
+++ b/packages/scheduler/portwharf/scheduler/step_placement_test.py
@@ -19,7 +19,7 @@
 from portwharf.vmlist import registry
 from portwharf.vmlist import registry_test
 
-check = faults_test.check
+check_fault_detected = faults_test.check_fault_detected
 
 
 def place(views, count=4, **fields):
@@ -58,7 +58,7 @@
 
 
 def test_placement_in_another_pool_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         test_step_runs_only_in_its_pool_and_under_its_label,
         vmview.VmView,
@@ -68,7 +68,7 @@
 
 
 def test_too_many_tasks_of_a_step_on_one_vm_are_caught(case):
-    check(
+    check_fault_detected(
         case,
         test_tasks_of_a_step_per_vm_are_limited,
         vm_choice,
@@ -86,7 +86,7 @@
             record.workload.kind = data.Kind.BATCH
         return original(self, vm, now)
 
-    check(
+    check_fault_detected(
         case,
         test_standing_task_is_never_preempted,
         service_protection.ServiceProtection,
@@ -96,7 +96,7 @@
 
 
 def test_start_beyond_a_vms_capacity_is_caught(case):
-    check(
+    check_fault_detected(
         case,
         agent_test.test_vm_is_never_given_more_than_it_holds,
         agent.Agent,
@@ -112,7 +112,7 @@
         self._current = configuration.Configuration()
         return original(self, revision, text)
 
-    check(
+    check_fault_detected(
         case,
         configuration_test.test_keeper_takes_only_higher_revisions,
         configuration.ConfigKeeper,
@@ -131,7 +131,7 @@
             return True
         return original(self)
 
-    check(
+    check_fault_detected(
         case,
         registry_test.test_token_is_never_that_of_a_former_life,
         registry.Registration,
--- a/packages/scheduler/portwharf/scheduler/suspects_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspects_test.py
@@ -209,7 +209,7 @@
 
 
 def test_giving_up_without_a_quiet_period_is_caught(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_two_crashes_at_the_start_are_conclusive_after_a_quiet_period,
         suspects.CrashHistory,
@@ -219,7 +219,7 @@
 
 
 def test_ignored_crashes_of_other_workers_are_caught(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_crash_of_another_worker_requires_a_trial,
         suspects.CrashHistory,
@@ -229,7 +229,7 @@
 
 
 def test_ignored_unstable_worker_is_caught(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_crash_of_an_unstable_worker_is_not_conclusive,
         suspects.CrashHistory,
@@ -239,7 +239,7 @@
 
 
 def test_giving_up_without_comparing_suspects_is_caught(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_two_jobs_with_the_same_crashes_require_a_trial,
         suspects,
--- a/packages/scheduler/portwharf/scheduler/takeover.py
+++ b/packages/scheduler/portwharf/scheduler/takeover.py
@@ -45,7 +45,7 @@
 # Each failure doubles the upper bound of the wait before the next attempt.
 _BACK_OFF_BASE_SECONDS = 0.25
 _MAX_BACK_OFF_SECONDS = 8.0
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -232,7 +232,9 @@
     def _log_read(self, contents, began):
         """Write a log line about a read of the shard's log."""
         took = self._env.clock.read_monotonic() - began
-        extra = logs.fields(shard=self._env.shard, took_ms=int(took * _MS))
+        extra = logs.fields(
+            shard=self._env.shard, took_ms=int(took * _MS_PER_SECOND)
+        )
         if contents.is_err():
             text = contents.err_value.text
             LOG.warning('log read failed: %s', text, extra=extra)
@@ -252,13 +254,13 @@
         listed = self._env.vmlist.read()
         if listed.is_err():
             return
-        listed_members = pass_inputs.pick_members(
+        listed_members = pass_inputs.list_endpoint_vms(
             listed.ok_value, self._env.shard
         )
         names = [vm.name for vm in listed_members]
         if self._env.name not in names:
             return
-        order = ids.rank_by_rendezvous(str(self._env.shard), names)
+        order = ids.rank_by_rendezvous_hash(str(self._env.shard), names)
         wait = order.index(self._env.name) * self._env.limits.rank_step
         if self._guard.measure_silence() < wait:
             self._stop.wait(_FOUND_RETRY_SECONDS)
@@ -275,7 +277,7 @@
         names = [n for n in self._members if n != self._guard.owner]
         if self._env.name not in names:
             names.append(self._env.name)
-        order = ids.rank_by_rendezvous(str(self._env.shard), names)
+        order = ids.rank_by_rendezvous_hash(str(self._env.shard), names)
         rank = order.index(self._env.name)
         limits = self._env.limits
         wait = limits.takeover + rank * limits.rank_step
@@ -293,7 +295,7 @@
         if self._guard.has_seen_owner:
             return False
         names = [*self._members, self._env.name]
-        order = ids.rank_by_rendezvous(str(self._env.shard), set(names))
+        order = ids.rank_by_rendezvous_hash(str(self._env.shard), set(names))
         return order[0] == self._env.name
 
     def _take_over_all_restarted(self):
--- a/packages/scheduler/portwharf/scheduler/takeover_test.py
+++ b/packages/scheduler/portwharf/scheduler/takeover_test.py
@@ -16,7 +16,7 @@
 
 LIMITS = limits.Limits()
 VMS = [fixtures.make_vm(number) for number in range(5)]
-FIRST = ids.rank_by_rendezvous('0', [vm.name for vm in VMS[1:]])[0]
+FIRST = ids.rank_by_rendezvous_hash('0', [vm.name for vm in VMS[1:]])[0]
 
 
 class FakeConn:
@@ -174,7 +174,7 @@
     def __init__(self, answers):
         """Take a map of member name to answer."""
         super().__init__(answers)
-        first = ids.rank_by_rendezvous('0', [vm.name for vm in VMS])[0]
+        first = ids.rank_by_rendezvous_hash('0', [vm.name for vm in VMS])[0]
         self.guard = guard.GrantGuard(self.clock, LIMITS)
         self.watcher._guard = self.guard
         self.watcher._env.name = first
@@ -231,7 +231,7 @@
 
 def test_only_the_first_in_line_queries_at_once(case):
     bench = RestartedWatcherBench(make_unheard_answers())
-    last = ids.rank_by_rendezvous('0', [vm.name for vm in VMS])[-1]
+    last = ids.rank_by_rendezvous_hash('0', [vm.name for vm in VMS])[-1]
     bench.watcher._env.name = last
     case.assertFalse(bench.poll_at_once())
 
--- a/packages/scheduler/portwharf/scheduler/zones.py
+++ b/packages/scheduler/portwharf/scheduler/zones.py
@@ -34,7 +34,7 @@
 _MAX_RETRY_SECONDS = 1.0
 # Limits on the names that are kept, as anybody may write keys there.
 MAX_ZONES = 1000
-MAX_NAME = 200
+MAX_NAME_LENGTH = 200
 
 
 @dataclasses.dataclass(slots=True)
@@ -83,7 +83,7 @@
 
     def update(self, revision, names):
         """Take a reading unless one of a higher revision is known."""
-        names = frozenset(name[:MAX_NAME] for name in names[:MAX_ZONES])
+        names = frozenset(name[:MAX_NAME_LENGTH] for name in names[:MAX_ZONES])
         with self._lock:
             if revision <= self._current.revision:
                 return
@@ -103,7 +103,7 @@
         :returns: whether the store answered
         """
         requested_at = self._clock.read_monotonic()
-        found = kv.list_names(self._prefix)
+        found = kv.list_keys(self._prefix)
         if found.is_err():
             return False
         names = [key[len(self._prefix) :] for key in found.ok_value.keys]
@@ -118,7 +118,9 @@
         """
         requested_at = self._clock.read_monotonic()
         known = self._current
-        found = kv.wait_for_names(self._prefix, known.revision, WATCH_SECONDS)
+        found = kv.wait_for_key_changes(
+            self._prefix, known.revision, WATCH_SECONDS
+        )
         if found.is_err():
             return False
         if not found.ok_value.revision:
--- a/packages/scheduler/portwharf/scheduler/zones_test.py
+++ b/packages/scheduler/portwharf/scheduler/zones_test.py
@@ -374,9 +374,9 @@
     def wait(prefix, revision, timeout):
         now.advance(5.0)
         keeper.refresh(kv)
-        return kv.list_names(prefix)
+        return kv.list_keys(prefix)
 
-    slow = mock.Mock(wait_for_names=wait)
+    slow = mock.Mock(wait_for_key_changes=wait)
     case.assertTrue(keeper.wait_for_change(slow))
     case.assertTrue(keeper.is_known_since(now.read_monotonic()))
 
@@ -386,11 +386,11 @@
     keeper.update(1, ['x' * 1000] + [str(n) for n in range(5000)])
     names = keeper.read().names
     case.assertEqual(len(names), zones.MAX_ZONES)
-    case.assertEqual(max(len(name) for name in names), zones.MAX_NAME)
+    case.assertEqual(max(len(name) for name in names), zones.MAX_NAME_LENGTH)
 
 
 def test_fault_side_ignores_the_zones(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_start_in_flight_is_refused_by_the_side,
         agent.Agent,
@@ -400,7 +400,7 @@
 
 
 def test_fault_owner_ignores_the_zones(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_all_zones_may_be_closed,
         membership.Membership,
@@ -410,7 +410,7 @@
 
 
 def test_fault_new_owner_does_not_read_the_zones(case):
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_new_owner_reads_the_zones_itself,
         membership.Membership,
--- a/packages/side/portwharf/side/agent.py
+++ b/packages/side/portwharf/side/agent.py
@@ -36,7 +36,7 @@
 _MIN_WAIT_SECONDS = 0.01
 # Doubled before each retry of a grant request.
 _INITIAL_RETRY_SECONDS = 0.02
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 # Refused attempts that are remembered. A duplicate command arrives within the
 # lifetime of its connection, so older entries can be dropped.
@@ -121,7 +121,7 @@
 
     def __enter__(self):
         if self._worker is not None:
-            self._worker.follow(self._poll_soon)
+            self._worker.on_attempt_end(self._poll_soon)
         self._thread.start()
         return self
 
@@ -258,7 +258,7 @@
 
     def _start(self, message):
         """Start an attempt if all conditions for it hold."""
-        self._pacer.note_start(message)
+        self._pacer.record_start(message)
         known = reports.find_latest(self._listing.attempts, message.task)
         if known is not None and known.attempt == message.attempt:
             return
@@ -284,7 +284,7 @@
             message.checkpoint,
             message.kind,
             message.workload,
-            self._leases.compute_end() if message.exclusive else 0,
+            self._leases.compute_lease_end_ms() if message.exclusive else 0,
             message.resources,
             message.ticket,
             self._listing.life,
@@ -460,7 +460,7 @@
         if not self._monitor.is_silent(now):
             return
         previous = self._listing
-        lapsed = self._leases.have_lapsed(now)
+        lapsed = self._leases.have_all_expired(now)
         self._listing = worker_monitor.make_silent_listing(previous, lapsed)
         self._report_vanished(previous, loss_reporter.GONE_LAPSED)
         if lapsed:
@@ -540,7 +540,7 @@
         epoch = 0 if self._guard.epoch_unknown else self._guard.epoch
         self._send(
             messages.Heartbeat(
-                int(now * _MS),
+                int(now * _MS_PER_SECOND),
                 self._owner_ms,
                 epoch,
                 self._listing.capacity,
--- a/packages/side/portwharf/side/crashes.py
+++ b/packages/side/portwharf/side/crashes.py
@@ -16,7 +16,7 @@
 MAX_ATTEMPTS = 20_000
 # ``ran_ms`` of an attempt whose start was not confirmed to this side process.
 UNKNOWN = -1
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -72,13 +72,13 @@
         :param names: attempts as (task, attempt)
         :returns: the crash's name
         """
-        crash = life.name or str(int(now * _MS))
+        crash = life.name or str(int(now * _MS_PER_SECOND))
         for name in names:
             started_at = self._starts.get(name)
             ran_ms = (
                 UNKNOWN
                 if started_at is None
-                else int((now - started_at) * _MS)
+                else int((now - started_at) * _MS_PER_SECOND)
             )
             self._crashes.put(name, Crash(crash, ran_ms))
         return crash
--- a/packages/side/portwharf/side/leases.py
+++ b/packages/side/portwharf/side/leases.py
@@ -16,7 +16,7 @@
 
 LOG = logging.getLogger(__name__)
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class LeaseKeeper:
@@ -54,27 +54,29 @@
         """Forget the leases sent to an earlier incarnation of the worker."""
         self._max_lease_end_ms = 0
 
-    def have_lapsed(self, now):
+    def have_all_expired(self, now):
         """Tell whether every lease that was ever sent has expired.
 
         Unanswered renewals count as sent. The worker's clock may be slow by
-        ``limits.DRIFT``.
+        ``limits.MAX_CLOCK_DRIFT``.
         """
         if now - self._started_at <= self._limits.replace_after_grant:
             # The side's previous process may have granted a lease just before
             # it ended.
             return False
-        left = (self._max_lease_end_ms - self._listing.now_ms) / _MS
-        return now - self._listed_at > left * (1 + limits.DRIFT)
+        left = (self._max_lease_end_ms - self._listing.now_ms) / _MS_PER_SECOND
+        return now - self._listed_at > left * (1 + limits.MAX_CLOCK_DRIFT)
 
-    def compute_end(self):
+    def compute_lease_end_ms(self):
         """Return when a lease may end, in ms on the worker's clock.
 
         The worker read its clock at or before ``listed_at``, so the result is
         never too late.
         """
         left = self._guard.granted_until - self._listed_at
-        until = self._listing.now_ms + (left + self._limits.lease) * _MS
+        until = (
+            self._listing.now_ms + (left + self._limits.lease) * _MS_PER_SECOND
+        )
         self._max_lease_end_ms = max(self._max_lease_end_ms, int(until))
         return max(1, int(until))
 
@@ -94,7 +96,7 @@
             return
         if self._guard.is_granted():
             self._stopped.clear()
-            self._worker.renew(self.compute_end())
+            self._worker.renew(self.compute_lease_end_ms())
             return
         self._stop_expiring(held)
 
@@ -108,7 +110,10 @@
         for attempt in held:
             name = (attempt.task, attempt.attempt)
             left = attempt.lease_until_ms - self._listing.now_ms
-            if name in self._stopped or left > self._limits.lease * _MS:
+            if (
+                name in self._stopped
+                or left > self._limits.lease * _MS_PER_SECOND
+            ):
                 continue
             extra = logs.fields(task=attempt.task, attempt=attempt.attempt)
             LOG.warning('no grant, stopping attempt', extra=extra)
--- a/packages/side/portwharf/side/main.py
+++ b/packages/side/portwharf/side/main.py
@@ -37,7 +37,7 @@
         sys.exit(EXIT_BAD_SETTINGS)
     cfg = read.ok_value
     logs.set_up(cfg.log_style, cfg.log_level)
-    logs.end_on_crash()
+    logs.exit_on_thread_exception()
     side = process.SideProcess(cfg)
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: side.stop())
--- a/packages/side/portwharf/side/pace_controller.py
+++ b/packages/side/portwharf/side/pace_controller.py
@@ -25,7 +25,7 @@
         if self._worker is None:
             return
         for held in message.tasks:
-            self._worker.recall(reports.make_recall_start(held))
+            self._worker.restore_start(reports.make_recall_start(held))
 
     def throttle(self, message):
         """Carry out a ``messages.ThrottleTask``.
--- a/packages/side/portwharf/side/pace_controller_test.py
+++ b/packages/side/portwharf/side/pace_controller_test.py
@@ -26,7 +26,7 @@
         self.commands.append((task, percent))
         return self.answer
 
-    def recall(self, start):
+    def restore_start(self, start):
         """Record a start by a previous side process."""
         self.recalled.append(start)
 
--- a/packages/side/portwharf/side/pacing.py
+++ b/packages/side/portwharf/side/pacing.py
@@ -93,11 +93,11 @@
         self._owner_informed = True
         self.log = pacing_log.PacingLog()
 
-    def note_start(self, message):
+    def record_start(self, message):
         """Take a task from the ``messages.StartTask`` that starts it."""
         self._traits.record(message)
 
-    def note_held(self, held):
+    def record_held(self, held):
         """Take a ``messages.HeldTask``, which may have started long ago.
 
         If a previous side process started it, its share is unknown.
@@ -108,7 +108,7 @@
     def record_all_held(self, tasks):
         """Take all tasks on the VM, a list of ``messages.HeldTask``."""
         for held in tasks:
-            self.note_held(held)
+            self.record_held(held)
         self._traits.record_all_described()
 
     @property
--- a/packages/side/portwharf/side/pacing_log.py
+++ b/packages/side/portwharf/side/pacing_log.py
@@ -19,7 +19,7 @@
 MIN_MISS_SECONDS = 1.0
 # Failed throttle commands are logged at most this often.
 _FAILURE_LOG_SECONDS = 1.0
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class PacingLog:
@@ -108,7 +108,7 @@
 
     def _end_episode(self, now):
         if self._logged:
-            took = int((now - self._over_since) * _MS)
+            took = int((now - self._over_since) * _MS_PER_SECOND)
             LOG.info(
                 'latency target met again', extra=logs.fields(took_ms=took)
             )
--- a/packages/side/portwharf/side/pacing_simulation_test.py
+++ b/packages/side/portwharf/side/pacing_simulation_test.py
@@ -68,7 +68,7 @@
         server = messages.StartTask(
             task='s.0.0.0', program='desk', target_ms=TARGET_MS
         )
-        self.pacer.note_start(server)
+        self.pacer.record_start(server)
         known = [
             messages.Press('desk', image, press)
             for image, press in PRESSES.items()
@@ -92,7 +92,7 @@
                 start.left = job.measure_left()
                 start.due_ms = self.now_ms + OBJECTIVE_MS
                 start.late_ms = self.now_ms + 3 * OBJECTIVE_MS
-            self.pacer.note_start(start)
+            self.pacer.record_start(start)
 
     def step(self):
         """Advance by one poll interval."""
--- a/packages/side/portwharf/side/pacing_test.py
+++ b/packages/side/portwharf/side/pacing_test.py
@@ -16,7 +16,7 @@
     """
     pacer = pacing.Pacer()
     start = messages.StartTask(task='s.0', program='desk', target_ms=20)
-    pacer.note_start(start)
+    pacer.record_start(start)
     told = [
         messages.Press('desk', image, press)
         for image, press in presses.items()
@@ -25,7 +25,7 @@
     for image in presses:
         start = messages.StartTask(task=f'{image}.0', program=image)
         start.fill_milli = 4000
-        pacer.note_start(start)
+        pacer.record_start(start)
     return pacer
 
 
@@ -81,7 +81,7 @@
 def test_unknown_work_is_throttled_as_if_it_might_be_heavy(case):
     pacer = make_pacer(light=0.1)
     start = messages.StartTask(task='new.0', program='new', fill_milli=4000)
-    pacer.note_start(start)
+    pacer.record_start(start)
     changes = plan(pacer, make_listing(12, 'new', used=0))
     case.assertLess(changes['new.0'], 50)
 
@@ -125,7 +125,7 @@
     case.assertEqual(plan(pacer, make_listing(10, 'light')), {})
     for number in range(task_traits.MAX_TRAITS + 1):
         start = messages.StartTask(task=f'x.{number}', fill_milli=1)
-        pacer.note_start(start)
+        pacer.record_start(start)
     case.assertIn('light.0', plan(pacer, make_listing(30, 'light')))
 
 
@@ -144,7 +144,7 @@
     pacer = make_pacer(light=0.1)
     plan(pacer, make_listing(30, 'light'))
     held = messages.HeldTask('light.0', 1, program='light', fill_milli=4000)
-    pacer.note_held(held)
+    pacer.record_held(held)
     (paced,) = pacer.list_paced()
     case.assertEqual(paced.task, 'light.0')
     case.assertEqual(plan(pacer, make_listing(30, 'light')), {})
--- a/packages/side/portwharf/side/process.py
+++ b/packages/side/portwharf/side/process.py
@@ -111,7 +111,7 @@
                 cfg.vm.address, cfg.vm.port, self._server.handle, context
             )
         )
-        pages = web.Pages(lambda: not self._guard.epoch_unknown)
+        pages = web.StatusPages(lambda: not self._guard.epoch_unknown)
         enter(web.Server(cfg.vm.address, cfg.pages_port, pages, threads=1))
         enter(watcher)
         LOG.info('side ready on VM %s', cfg.vm.name)
--- a/packages/side/portwharf/side/reports.py
+++ b/packages/side/portwharf/side/reports.py
@@ -28,7 +28,7 @@
 
 
 def make_recall_start(held):
-    """Return a ``messages.HeldTask`` as a ``workers.Start`` to recall."""
+    """Return a ``messages.HeldTask`` as a ``workers.Start`` to restore."""
     return workers.Start(
         held.task,
         held.attempt,
--- a/packages/side/portwharf/side/runtimes.py
+++ b/packages/side/portwharf/side/runtimes.py
@@ -20,7 +20,7 @@
 # Estimates that wait for a heartbeat; many tasks may end together.
 MAX_DUE = 100
 _FULL = 100
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -100,7 +100,7 @@
         if seen.told or done < MIN_PERCENT:
             return
         seen.told = True
-        run_ms = int(seen.worked * _FULL / done * _MS)
+        run_ms = int(seen.worked * _FULL / done * _MS_PER_SECOND)
         if run_ms > 0 and len(self._due) < MAX_DUE:
             measure = messages.RunMeasure(attempt.task, run_ms)
             self._due.append(measure)
--- a/packages/side/portwharf/side/server.py
+++ b/packages/side/portwharf/side/server.py
@@ -34,7 +34,7 @@
     messages.PressUpdate,
     messages.HeldTasks,
 )
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class SideServer:
@@ -154,7 +154,7 @@
                     'epoch of the grant differs from that of the greeting'
                 )
             self._guard.accept_grant(
-                message.epoch, message.side_ms / _MS, message.valid
+                message.epoch, message.side_ms / _MS_PER_SECOND, message.valid
             )
             self.agent.take_grant(message)
         elif isinstance(message, messages.Resignation):
@@ -248,7 +248,7 @@
             message.request,
             message.service,
             message.excess,
-            now + message.left_ms / _MS,
+            now + message.left_ms / _MS_PER_SECOND,
             payload,
         )
 
--- a/packages/side/portwharf/side/settings.py
+++ b/packages/side/portwharf/side/settings.py
@@ -31,26 +31,30 @@
             voluptuous.Required('pages_port'): settings.port,
             voluptuous.Required('availability_zone'): settings.name,
             voluptuous.Required('rack'): settings.name,
-            voluptuous.Optional('shard', default=0): settings.whole(0, 9999),
+            voluptuous.Optional('shard', default=0): settings.integer(0, 9999),
         },
         voluptuous.Required('store'): settings.ENDPOINT,
         voluptuous.Required('vm_list'): settings.ENDPOINT,
         voluptuous.Optional('worker'): settings.ENDPOINT,
         voluptuous.Optional('runner'): {
             **settings.ENDPOINT,
-            voluptuous.Optional('slots', default=8): settings.whole(1, 1024),
-            voluptuous.Optional('connections', default=64): settings.whole(
+            voluptuous.Optional('slots', default=8): settings.integer(1, 1024),
+            voluptuous.Optional('connections', default=64): settings.integer(
                 1, 4096
             ),
-            voluptuous.Optional('queue', default=32): settings.whole(0, 4096),
+            voluptuous.Optional('queue', default=32): settings.integer(
+                0, 4096
+            ),
             voluptuous.Optional('services', default=list): [str],
         },
         voluptuous.Optional('limits', default=dict): _LIMITS_SCHEMA,
         voluptuous.Optional('shards', default=dict): {
-            voluptuous.Optional('count', default=1): settings.whole(1, 10000),
+            voluptuous.Optional('count', default=1): settings.integer(
+                1, 10000
+            ),
             voluptuous.Optional(
                 'store_writes_per_second', default=STORE_WRITES
-            ): settings.whole(1, 100_000),
+            ): settings.integer(1, 100_000),
         },
         voluptuous.Required('tls'): settings.TLS,
         voluptuous.Optional('log', default=dict): settings.LOG,
--- a/packages/side/portwharf/side/slowdowns.py
+++ b/packages/side/portwharf/side/slowdowns.py
@@ -19,7 +19,7 @@
 # A running attempt is logged each time it has lost this much more.
 LOG_STEP_SECONDS = 4.0
 _FULL = 100
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -84,8 +84,8 @@
         extra = logs.fields(
             task=task,
             attempt=attempt,
-            ran_ms=int(run.ran * _MS),
-            paced_ms=int(run.lost * _MS),
+            ran_ms=int(run.ran * _MS_PER_SECOND),
+            paced_ms=int(run.lost * _MS_PER_SECOND),
         )
         LOG.info('worked at a share', extra=extra)
 
--- a/packages/side/portwharf/side/unknown_sizes_test.py
+++ b/packages/side/portwharf/side/unknown_sizes_test.py
@@ -37,7 +37,7 @@
 
     worker.read_listing = read_listing
     worker.start = start
-    worker.recall = note
+    worker.restore_start = note
     return known
 
 
--- a/packages/store/portwharf/store/__init__.py
+++ b/packages/store/portwharf/store/__init__.py
@@ -4,12 +4,12 @@
 
 from portwharf.store.base import Entry
 from portwharf.store.base import find_prefix_end
+from portwharf.store.base import KeyList
 from portwharf.store.base import LeaseStore
 from portwharf.store.base import MAX_VALUE_BYTES
-from portwharf.store.base import Names
 from portwharf.store.base import Store
 from portwharf.store.base import StoreError
-from portwharf.store.base import Swap
+from portwharf.store.base import WriteResult
 from portwharf.store.etcd import EtcdStore
 from portwharf.store.etcd import open_etcd
 from portwharf.store.rate_limit import RateLimitedStore
@@ -20,10 +20,10 @@
     'EtcdStore',
     'LeaseStore',
     'MAX_VALUE_BYTES',
-    'Names',
+    'KeyList',
     'Store',
     'StoreError',
-    'Swap',
+    'WriteResult',
     'find_prefix_end',
     'open_etcd',
 )
--- a/packages/store/portwharf/store/base.py
+++ b/packages/store/portwharf/store/base.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Swap:
+class WriteResult:
     """The result of a write.
 
     :param done: whether the value was written
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Names:
+class KeyList:
     """The keys with a common prefix at one revision of the store.
 
     A watch from that revision on reports every later change.
@@ -87,7 +87,7 @@
 
         :param revision: the expected revision; 0 if the key must not exist
         :param guard: an Entry whose key must be unchanged as well, or None
-        :returns: Ok(Swap), or Err(StoreError)
+        :returns: Ok(WriteResult), or Err(StoreError)
         """
 
     @abc.abstractmethod
@@ -108,20 +108,20 @@
         """
 
     @abc.abstractmethod
-    def list_names(self, prefix):
+    def list_keys(self, prefix):
         """List the keys that begin with a prefix.
 
-        :returns: Ok(Names), or Err(StoreError)
+        :returns: Ok(KeyList), or Err(StoreError)
         """
 
     @abc.abstractmethod
-    def wait_for_names(self, prefix, revision, timeout):
+    def wait_for_key_changes(self, prefix, revision, timeout):
         """Wait until a key that begins with a prefix is written or deleted.
 
-        :param revision: the revision of the last known ``Names``
+        :param revision: the revision of the last known ``KeyList``
         :param timeout: in seconds; a watch counts as one call to the store
             whatever its length
-        :returns: Ok(Names) without keys, or Err(StoreError); the revision
+        :returns: Ok(KeyList) without keys, or Err(StoreError); the revision
             is one up to which no key changed, or 0 if one may have changed
         """
 
@@ -133,12 +133,12 @@
     def put(self, key, value, lease):
         """Write a key unconditionally and attach it to a lease.
 
-        :param lease: a lease from :meth:`open_lease`, or 0 for none
-        :returns: Ok(Swap), or Err(StoreError)
+        :param lease: a lease from :meth:`grant_lease`, or 0 for none
+        :returns: Ok(WriteResult), or Err(StoreError)
         """
 
     @abc.abstractmethod
-    def open_lease(self, seconds):
+    def grant_lease(self, seconds):
         """Grant a new lease.
 
         :param seconds: time after which it expires unless renewed
@@ -146,7 +146,7 @@
         """
 
     @abc.abstractmethod
-    def keep_lease(self, lease):
+    def renew_lease(self, lease):
         """Renew a lease.
 
         :returns: Ok(whether it is still valid), or Err(StoreError)
--- a/packages/store/portwharf/store/etcd.py
+++ b/packages/store/portwharf/store/etcd.py
@@ -80,19 +80,19 @@
         }
         return self._watch(create, timeout)
 
-    def list_names(self, prefix):
+    def list_keys(self, prefix):
         body = {**_make_range(prefix), 'keys_only': True}
         answer = self._call('/v3/kv/range', body)
         return answer.map(_read_names)
 
-    def wait_for_names(self, prefix, revision, timeout):
+    def wait_for_key_changes(self, prefix, revision, timeout):
         create = {
             **_make_range(prefix),
             'start_revision': str(revision + 1),
         }
         changed = self._watch(create, timeout)
         return changed.map(
-            lambda entry: base.Names(revision=0 if entry else revision)
+            lambda entry: base.KeyList(revision=0 if entry else revision)
         )
 
     def _watch(self, create, timeout):
@@ -135,7 +135,7 @@
             return result.Err(base.StoreError(str(exc)))
         except urllib3.exceptions.HTTPError as exc:
             if isinstance(exc, urllib3.exceptions.TimeoutError):
-                pools.drop_idle(self._pool)
+                pools.close_idle_connections(self._pool)
             return result.Err(base.StoreError(str(exc), unknown=changes))
         return _read_response(response, changes)
 
@@ -203,7 +203,7 @@
 
 def _read_names(value):
     keys = [entry.key for entry in _read_entries(value)]
-    return base.Names(keys, int(value['header']['revision']))
+    return base.KeyList(keys, int(value['header']['revision']))
 
 
 def _read_first(kvs):
@@ -234,8 +234,8 @@
 
 def _read_swap(value):
     if not value.get('succeeded'):
-        return base.Swap()
-    return base.Swap(True, int(value['header']['revision']))
+        return base.WriteResult()
+    return base.WriteResult(True, int(value['header']['revision']))
 
 
 def _encode(raw):
--- a/packages/store/portwharf/store/etcd_test.py
+++ b/packages/store/portwharf/store/etcd_test.py
@@ -130,11 +130,11 @@
     kv, fake = open_served(case)
     kv.swap('z/a', b'one', 0)
     kv.swap('zz', b'other', 0)
-    names = kv.list_names('z/').ok_value
+    names = kv.list_keys('z/').ok_value
     case.assertEqual(names.keys, ['z/a'])
     kv.swap('other', b'', 0)
-    quiet = kv.wait_for_names('z/', names.revision, 0.2)
+    quiet = kv.wait_for_key_changes('z/', names.revision, 0.2)
     case.assertEqual(quiet.ok_value.revision, names.revision)
     fake.remove('z/a')
-    changed = kv.wait_for_names('z/', names.revision, 2.0)
+    changed = kv.wait_for_key_changes('z/', names.revision, 2.0)
     case.assertEqual(changed.ok_value.revision, 0)
--- a/packages/store/portwharf/store/rate_limit.py
+++ b/packages/store/portwharf/store/rate_limit.py
@@ -65,22 +65,22 @@
             key, revision, timeout
         )
 
-    def list_names(self, prefix):
-        return self._take() or self._inner.list_names(prefix)
+    def list_keys(self, prefix):
+        return self._take() or self._inner.list_keys(prefix)
 
-    def wait_for_names(self, prefix, revision, timeout):
-        return self._take() or self._inner.wait_for_names(
+    def wait_for_key_changes(self, prefix, revision, timeout):
+        return self._take() or self._inner.wait_for_key_changes(
             prefix, revision, timeout
         )
 
     def put(self, key, value, lease):
         return self._take() or self._inner.put(key, value, lease)
 
-    def open_lease(self, seconds):
-        return self._take() or self._inner.open_lease(seconds)
+    def grant_lease(self, seconds):
+        return self._take() or self._inner.grant_lease(seconds)
 
-    def keep_lease(self, lease):
-        return self._take() or self._inner.keep_lease(lease)
+    def renew_lease(self, lease):
+        return self._take() or self._inner.renew_lease(lease)
 
     def _take(self):
         """Take a token for one call, waiting for it if necessary.
--- a/packages/testing/portwharf/testing/bench.py
+++ b/packages/testing/portwharf/testing/bench.py
@@ -237,7 +237,7 @@
     model = interference.Model()
     for _ in range(100):
         model.observe('lens/fit', 0.5, {'lens/surface-plan': 1}, 0.05)
-    judge = remedies.Remedies(model).judge
+    judge = remedies.Remedies(model).predict_effect
     min_seconds = float('inf')
     for _ in range(REPETITIONS):
         views = make_views(vms, cpu_milli)
@@ -267,7 +267,7 @@
     search = service_protection.ServiceProtection(shard_state, 0.0)
     preparation = prepared_starts.PreparedStarts(shard_state)
     began = time.process_time()
-    search.find_room(planned.ordered, views, set(), 1.0)
+    search.plan_evictions(planned.ordered, views, set(), 1.0)
     preparation.prepare_tasks(planned.ordered, views)
     return time.process_time() - began
 
--- a/packages/testing/portwharf/testing/bench_decisions.py
+++ b/packages/testing/portwharf/testing/bench_decisions.py
@@ -88,7 +88,7 @@
         self.remedies.set_weights(weights)
         if not policy.brake:
             self.remedies.eviction_budget.take = lambda now: True
-        self.peaks = remedies.Peaks()
+        self.peaks = remedies.PeakLoadTracker()
         self.timeline = interference.Timeline()
         self.waiting = []
         self.running = collections.defaultdict(list)
@@ -235,7 +235,7 @@
     def _place_ours(self, views, now):
         tasks = {task.name: task for task in self.waiting}
         demands = [self._make_demand(task) for task in self.waiting]
-        judge = self.remedies.judge if self.policy.judge else None
+        judge = self.remedies.predict_effect if self.policy.judge else None
         planned = placement.place_demands(
             demands, views, backlog.Quotas({}, {}), now * 1000, judge
         )
--- a/packages/testing/portwharf/testing/bench_requests.py
+++ b/packages/testing/portwharf/testing/bench_requests.py
@@ -74,7 +74,7 @@
         self.view.up = True
         self.view.state.slots = SLOTS
 
-    def begin(self, message, payload=b''):
+    def send_request(self, message, payload=b''):
         """Offer a request to the admission queue; returns its exchange."""
         exchange = side_links.Exchange(self._clock.read_monotonic())
         with self._lock:
@@ -99,7 +99,7 @@
 
     def _take_verdict(self, message, verdict):
         payload = verdict.payload
-        self._take(
+        self._handle_message(
             messages.Answer(
                 id=message.id,
                 request=message.request,
@@ -128,10 +128,10 @@
 class RandomRouter(routing.EndpointRouter):
     """Baseline: a random endpoint, without a limit at the entry."""
 
-    def _pass_gate(self, call, deadline):
+    def _route_admitted(self, call, deadline):
         return self._try_endpoints(call, deadline)
 
-    def _choose(self, service, tried):
+    def _select_endpoint(self, service, tried):
         serving = self._list_untried(service, tried)
         return self._random.choice(serving) if serving else None
 
@@ -147,7 +147,7 @@
         super().__init__(*arguments)
         self._turns = itertools.count()
 
-    def _choose(self, service, tried):
+    def _select_endpoint(self, service, tried):
         serving = self._list_untried(service, tried)
         return serving[next(self._turns) % len(serving)] if serving else None
 
@@ -155,7 +155,7 @@
 class LeastConnectionsRouter(RandomRouter):
     """Baseline: the endpoint with the fewest requests of this entry."""
 
-    def _choose(self, service, tried):
+    def _select_endpoint(self, service, tried):
         serving = self._list_untried(service, tried)
         return min(serving, key=lambda link: link.view.sent, default=None)
 
@@ -391,11 +391,13 @@
     count = 20_000
     began = time.process_time()
     for _ in range(count):
-        router._gate.enter(_SERVICE, 'x')
-        link = router._choose(_SERVICE, set())
-        router._ratings.observe(link.name, data.Outcome.ANSWERED, '', 0.05)
-        router._gate.note_load(_SERVICE, 1, SLOTS)
-        router._gate.leave(_SERVICE, 'x')
+        router._limiter.admit(_SERVICE, 'x')
+        link = router._select_endpoint(_SERVICE, set())
+        router._ratings.record_result(
+            link.name, data.Outcome.ANSWERED, '', 0.05
+        )
+        router._limiter.record_load(_SERVICE, 1, SLOTS)
+        router._limiter.release(_SERVICE, 'x')
     microseconds = 1e6 * (time.process_time() - began) / count
     return [_check_bound('microseconds a decision', microseconds, maximum=60)]
 
--- a/packages/testing/portwharf/testing/crash_day.py
+++ b/packages/testing/portwharf/testing/crash_day.py
@@ -367,12 +367,12 @@
         vm = data.Vm(name, availability_zone=f'zone-{number % 3}')
         view = vmview.VmView(vm, VM_CAPACITY, self._state.reserved[name])
         view.rack = f'rack-{number // VMS_PER_RACK}'
-        view.take_pairs(tail_interference.TailInterferenceModel(), [])
+        view.set_headrooms(tail_interference.TailInterferenceModel(), [])
         if self._known_away_until[name] > self._now:
             view.closed = 'away'
         for task in self._state.held[name].values():
             record = self._state.find_workload(task.id)
-            view.count_fill(record.workload)
+            view.add_usage(record.workload)
             if task.crashes:
                 unit = suspects.find_failure_unit(self._state, task)
                 view.note_suspect(unit, len(task.crashes))
--- a/packages/testing/portwharf/testing/crash_day_test.py
+++ b/packages/testing/portwharf/testing/crash_day_test.py
@@ -49,7 +49,7 @@
 
 def test_ignored_crash_waves_are_detected(case):
     """Giving up after two crashes regardless of others is detected."""
-    faults_test.check(
+    faults_test.check_fault_detected(
         case,
         test_no_healthy_job_is_given_up_after_ordinary_crashes,
         suspects.CrashHistory,
--- a/packages/testing/portwharf/testing/fake_store.py
+++ b/packages/testing/portwharf/testing/fake_store.py
@@ -77,7 +77,7 @@
             return _refuse(start_response, 503)
         if path == '/v3/kv/range':
             self.reads += 1
-            return web.answer_json(start_response, 200, self._range(body))
+            return web.send_json(start_response, 200, self._range(body))
         if path == '/v3/watch':
             self.watches += 1
             return self._watch(body['create_request'], start_response)
@@ -116,7 +116,7 @@
             'writes': self.writes,
             'watches': self.watches,
         }
-        return web.answer_json(start_response, 200, counts)
+        return web.send_json(start_response, 200, counts)
 
     def _handle_write(self, path, body, start_response):
         with self._condition:
@@ -136,7 +136,7 @@
             if self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
                 return _refuse(start_response, 504)
-        return web.answer_json(start_response, 200, value)
+        return web.send_json(start_response, 200, value)
 
     def _is_over_rate(self):
         limit = self.faults.writes_per_second
@@ -252,7 +252,7 @@
 
 
 def _refuse(start_response, status):
-    return web.answer_json(start_response, status, {'error': 'refused'})
+    return web.send_json(start_response, status, {'error': 'refused'})
 
 
 def _encode(key):
--- a/packages/testing/portwharf/testing/mutants.py
+++ b/packages/testing/portwharf/testing/mutants.py
@@ -2,11 +2,11 @@
 # SPDX-License-Identifier: Apache-2.0
 """Mutation testing of the random walks (``make mutants``).
 
-The mutants are those of the tests that call ``faults_test.check``, which
-name a function, its faulty replacement and a test that fails with it. This
-program applies each mutant without that test, and reports the first seed on
-which a random walk fails. It stops with an error if a replaced function no
-longer exists.
+The mutants are those of the tests that call
+``faults_test.check_fault_detected``, which name a function, its faulty
+replacement and a test that fails with it. This program applies each mutant
+without that test, and reports the first seed on which a random walk fails. It
+stops with an error if a replaced function no longer exists.
 """
 
 import argparse
@@ -62,10 +62,14 @@
     for name, function in inspect.getmembers(module, inspect.isfunction):
         if not name.startswith('test_') or not _injects_fault(function):
             continue
-        with mock.patch.object(faults_test, 'check', record_mutant):
-            imports_check = 'check' in vars(module)
+        with mock.patch.object(
+            faults_test, 'check_fault_detected', record_mutant
+        ):
+            imports_check = 'check_fault_detected' in vars(module)
             target = module if imports_check else faults_test
-            with mock.patch.object(target, 'check', record_mutant):
+            with mock.patch.object(
+                target, 'check_fault_detected', record_mutant
+            ):
                 function(unittest.TestCase())
     return mutants
 
@@ -73,7 +77,7 @@
 def _injects_fault(function):
     """Return whether a test injects a fault without patching by itself."""
     source = inspect.getsource(function)
-    return 'check(' in source and 'mock.patch' not in source
+    return 'check_fault_detected(' in source and 'mock.patch' not in source
 
 
 def make_walk(seed):
--- a/packages/testing/portwharf/testing/overload_day.py
+++ b/packages/testing/portwharf/testing/overload_day.py
@@ -93,14 +93,14 @@
 
         :param load: wide jobs a second
         :param estimates_off: maximum relative error of run time estimates
-        :param run_times: a ``forecast.RunTimes``, or None for a new one
+        :param run_times: a ``forecast.RunTimeModel``, or None for a new one
         """
         self._seed = seed
         self._clients = overload_load.Clients(seed, load, estimates_off)
         self._clock = clock.ManualClock(0.0)
         self._state = state.ShardState()
         self.run_times = (
-            run_times if run_times is not None else forecast.RunTimes()
+            run_times if run_times is not None else forecast.RunTimeModel()
         )
         self._press_model = tail_interference.TailInterferenceModel()
         self._presses = {}
@@ -227,7 +227,9 @@
         self._saved_seconds.pop(run.task, None)
         if not failed:
             queue = self._state.jobs[record.workload.job].job.queue
-            self.run_times.note(queue, record, int(1000 * run.needs))
+            self.run_times.record_run_time(
+                queue, record, int(1000 * run.needs)
+            )
         self._report(run, end)
 
     def _draw_random(self, run, what):
@@ -311,7 +313,7 @@
             headroom = self._get_tolerated_press(link.name)
             for task in self._state.held[link.name].values():
                 record = self._state.find_workload(task.id)
-                view.count_fill(record.workload)
+                view.add_usage(record.workload)
                 if not record.workload.fills:
                     continue
                 percent = percent_by_task.get(task.id, 100)
@@ -321,7 +323,7 @@
                 headroom -= (
                     press * 7000 / VM_CAPACITY.cpu_milli * percent / 100
                 )
-            view.take_pairs(
+            view.set_headrooms(
                 self._press_model,
                 [messages.Headroom('serve', max(0.0, headroom))],
             )
@@ -359,14 +361,14 @@
         return tallies
 
 
-class Oracle(forecast.RunTimes):
+class Oracle(forecast.RunTimeModel):
     """Predicts the true run times, as an upper limit of any learning."""
 
     def __init__(self):
         super().__init__()
         self.seconds = {}
 
-    def note(self, queue, record, run_ms):
+    def record_run_time(self, queue, record, run_ms):
         """Ignore a run time; the true ones are known."""
 
     def predict(self, queue, record):
@@ -376,8 +378,8 @@
 
 
 PREDICTORS = {
-    'estimates': forecast.Estimates,
-    'learnt': forecast.RunTimes,
+    'estimates': forecast.ClientEstimates,
+    'learnt': forecast.RunTimeModel,
     'oracle': Oracle,
 }
 
--- a/packages/testing/portwharf/testing/runner.py
+++ b/packages/testing/portwharf/testing/runner.py
@@ -29,13 +29,13 @@
     def __call__(self, environ, start_response):
         path = environ['PATH_INFO']
         if path == '/record':
-            return web.answer_json(start_response, 200, dict(self.ran))
+            return web.send_json(start_response, 200, dict(self.ran))
         if path == '/control':
             self.delay = float(web.read_json(environ).get('delay', 0.0))
-            return web.answer_json(start_response, 200, {})
+            return web.send_json(start_response, 200, {})
         payload = web.read_body(environ)
         if not self._free_slots.acquire(blocking=False):
-            return web.answer_json(start_response, 503, {})
+            return web.send_json(start_response, 503, {})
         try:
             return self._run(environ, start_response, path, payload)
         finally:
--- a/packages/testing/portwharf/testing/vms.py
+++ b/packages/testing/portwharf/testing/vms.py
@@ -23,8 +23,8 @@
         if path == '/control':
             vm = codec.from_map(data.Vm, web.read_json(environ))
             self.vms[vm.name] = vm
-            return web.answer_json(start_response, 200, {})
+            return web.send_json(start_response, 200, {})
         if path != '/vms' or self.down:
-            return web.answer_json(start_response, 503, {})
+            return web.send_json(start_response, 503, {})
         rows = [codec.to_map(vm) for vm in list(self.vms.values())]
-        return web.answer_json(start_response, 200, {'vms': rows})
+        return web.send_json(start_response, 200, {'vms': rows})
--- a/packages/testing/portwharf/testing/worker.py
+++ b/packages/testing/portwharf/testing/worker.py
@@ -155,10 +155,10 @@
     def __call__(self, environ, start_response):
         path = environ['PATH_INFO']
         if path == '/tasks' and environ['REQUEST_METHOD'] == 'GET':
-            return web.answer_json(start_response, 200, self._list())
+            return web.send_json(start_response, 200, self._list())
         if path == '/record':
             rows = [codec.to_map(span) for span in list(self.spans)]
-            return web.answer_json(start_response, 200, {'spans': rows})
+            return web.send_json(start_response, 200, {'spans': rows})
         body = web.read_json(environ)
         handler = {
             '/tasks': self._start,
@@ -169,10 +169,10 @@
             '/control': self._control,
         }.get(path)
         if handler is None:
-            return web.answer_json(start_response, 404, {})
+            return web.send_json(start_response, 404, {})
         answer = handler(body)
         status = 409 if 'refused' in answer else 200
-        return web.answer_json(start_response, status, answer)
+        return web.send_json(start_response, status, answer)
 
     def close(self):
         """End all tasks without checkpoints, as a VM failure does."""
--- a/packages/vmlist/portwharf/vmlist/registry.py
+++ b/packages/vmlist/portwharf/vmlist/registry.py
@@ -126,7 +126,7 @@
         if self._key_exists:
             LOG.warning('registration lost', extra=logs.fields(vm=self._key))
         self._key_exists = False
-        opened = self._kv.open_lease(LEASE_SECONDS)
+        opened = self._kv.grant_lease(LEASE_SECONDS)
         if opened.is_err():
             return False
         self._lease = opened.ok_value
@@ -167,7 +167,7 @@
 
         Both are assumed to exist while the store does not answer.
         """
-        renewed = self._kv.keep_lease(self._lease)
+        renewed = self._kv.renew_lease(self._lease)
         if renewed.is_err():
             return True
         if not renewed.ok_value:
--- a/packages/vmlist/portwharf/vmlist/registry_test.py
+++ b/packages/vmlist/portwharf/vmlist/registry_test.py
@@ -119,7 +119,7 @@
     registration.renew()
     other = vmlist.Registration(registration._kv, vm)
     # As after a write that was lost on its way to the store.
-    other._lease = other._kv.open_lease(5).ok_value
+    other._lease = other._kv.grant_lease(5).ok_value
     case.assertTrue(other.renew())
     case.assertGreater(other.token, registration.token)
 
--- a/packages/workers/portwharf/workers/base.py
+++ b/packages/workers/portwharf/workers/base.py
@@ -143,7 +143,7 @@
             after an Err the attempt may run, now or later
         """
 
-    def recall(self, start):
+    def restore_start(self, start):
         """Restore the :class:`Start` of an attempt.
 
         For workers whose listing does not contain it. The attempt may have
@@ -151,7 +151,7 @@
         """
         return None
 
-    def follow(self, on_change):
+    def on_attempt_end(self, on_change):
         """Register a function to be called when an attempt has ended.
 
         A worker without notifications never calls it. The caller polls the
