--- a/packages/entry/portwharf/entry/process.py
+++ b/packages/entry/portwharf/entry/process.py
@@ -10,13 +10,13 @@
 from portwharf.core import clock
 from portwharf.core import codec
 from portwharf.core import ids
-from portwharf.core import stops
+from portwharf.core import shutdown
 from portwharf.core import web
 from portwharf.entry import entry_peers
 from portwharf.entry import metrics
 from portwharf.entry import routing
 from portwharf.entry import shard_backend
-from portwharf.entry import sides
+from portwharf.entry import side_links
 from portwharf import operators
 from portwharf.peers import messages
 from portwharf.peers import streams
@@ -46,7 +46,7 @@
         self._keeper = configuration.ConfigKeeper()
         self._instance = ids.make_nonce()
         self._calls = _ActiveCalls()
-        self._burn = callers.BurnCounter(
+        self._burn = callers.BurnRateCounter(
             self._clock, lambda name: self._keeper.read().targets.get(name)
         )
 
@@ -67,20 +67,20 @@
 
     def wait(self):
         """Wait until a stop is requested."""
-        stops.wait_until_asked(self._stopping)
+        shutdown.wait_for_stop_request(self._stopping)
 
     def _start_parts(self):
         cfg = self._cfg
         enter = self._stack.enter_context
         gateway = store.open_etcd(cfg.store.address, cfg.store.port)
-        kv = store.BudgetedStore(enter(gateway), self._clock)
+        kv = store.RateLimitedStore(enter(gateway), self._clock)
         listing = enter(
             vmlist.HttpVmList(cfg.vm_list.address, cfg.vm_list.port)
         )
         enter(configuration.ConfigWatcher(kv, self._keeper))
         context = tls.make_client_context(cfg.tls)
         self._links = enter(
-            sides.LinkTable(
+            side_links.LinkTable(
                 listing,
                 lambda vm: streams.dial(vm.address, vm.port, context),
                 self._make_hello,
@@ -109,7 +109,7 @@
         caller_app = callers_connect.CallerServiceWSGIApplication(
             callers.CallerService(router)
         )
-        pages = web.Pages(self._is_ready)
+        pages = web.StatusPages(self._is_ready)
 
         def serve(environ, start_response):
             path = environ.get('PATH_INFO', '')
@@ -119,7 +119,7 @@
                 return self._calls.run(caller_app, environ, start_response)
             if path == entry_peers.PATH:
                 page = codec.to_map(self._make_page())
-                return web.answer_json(start_response, 200, page)
+                return web.send_json(start_response, 200, page)
             return pages(environ, start_response)
 
         return serve
--- a/packages/entry/portwharf/entry/fewsides.py
+++ b/packages/entry/portwharf/entry/side_subset.py
@@ -15,7 +15,7 @@
 _MAX_LINKS_FACTOR = 3
 
 
-class FewSides:
+class SideSubset:
     """Selects a few sides, and the owner.
 
     Rendezvous hashing by the entry's name spreads the links of all entries
@@ -38,7 +38,7 @@
         :param links: map of the present links by name
         """
         selected, reachable = [], 0
-        for name in ids.rank_by_rendezvous(self._name, names):
+        for name in ids.rank_by_rendezvous_hash(self._name, names):
             if (
                 reachable >= self._min_links
                 or len(selected) >= _MAX_LINKS_FACTOR * self._min_links
--- a/packages/platform/portwharf/platform/decoding.py
+++ b/packages/platform/portwharf/platform/decoding.py
@@ -78,7 +78,7 @@
     if len(job.steps) > MAX_STEPS or tasks > MAX_TASKS:
         text = f'must be at most {MAX_STEPS} with {MAX_TASKS} tasks in all'
         return result.Err(_make_problem(job_id, 'steps', text))
-    problem = jobs.find_problem(job)
+    problem = jobs.validate_job(job)
     return result.Ok(job) if problem is None else result.Err(problem)
 
 
@@ -103,7 +103,7 @@
     steps = [
         _parse_step(queue, step, number) for number, step in enumerate(rows)
     ]
-    chains = jobs.measure_chains(steps)
+    chains = jobs.compute_path_ms(steps)
     max_runs = json_fields.read_int(value, 'maxRuns')
     return data.Job(
         job_id,
--- a/packages/platform/portwharf/platform/kv_test.py
+++ b/packages/platform/portwharf/platform/store_client_test.py
@@ -3,7 +3,7 @@
 """The platform's store fulfils the contract of ``store.LeaseStore``."""
 
 from portwharf.core import settings
-from portwharf.platform import kv
+from portwharf.platform import store_client
 from portwharf.scheduler import configuration
 from portwharf.scheduler import events
 from portwharf.scheduler import shardlog
@@ -14,10 +14,10 @@
 
 def open_store(case):
     """Return a client of a stand-in store, and the stand-in."""
-    standin = platform_store.PlatformStoreStandIn()
+    standin = platform_store.FakePlatformStore()
     port = fixtures.serve(case, standin)
     endpoint = settings.Endpoint('127.0.0.1', port)
-    return case.enterContext(kv.PlatformStore(endpoint)), standin
+    return case.enterContext(store_client.PlatformStore(endpoint)), standin
 
 
 def test_key_is_created_once(case):
@@ -93,11 +93,11 @@
 
 def test_keys_are_deleted_with_their_lease(case):
     client, standin = open_store(case)
-    lease = client.open_lease(5).ok_value
+    lease = client.grant_lease(5).ok_value
     client.put('a', b'1', lease)
-    case.assertTrue(client.keep_lease(lease).ok_value)
+    case.assertTrue(client.renew_lease(lease).ok_value)
     standin.end_leases()
-    case.assertFalse(client.keep_lease(lease).ok_value)
+    case.assertFalse(client.renew_lease(lease).ok_value)
     case.assertIsNone(client.read('a').ok_value)
 
 
@@ -121,7 +121,7 @@
 
 
 def test_lost_watch_is_replaced_within_the_contact_limit(case):
-    noticed_seconds = kv.WATCH_SECONDS + kv.CALL_SECONDS
+    noticed_seconds = store_client.WATCH_SECONDS + store_client.CALL_SECONDS
     read_again_seconds = noticed_seconds + 1.5 * configuration.RETRY_SECONDS
     # The platform's contact limit, contactMs in its bounds.
     case.assertLess(read_again_seconds, 3.0)
@@ -132,33 +132,35 @@
     for number in range(8):
         standin.set_item(f'zones/{number}', '')
     standin.set_item('zonesque', '')
-    names = client.list_names('zones/').ok_value
+    names = client.list_keys('zones/').ok_value
     case.assertEqual([key[-1] for key in names.keys], list('01234567'))
 
 
 def test_watch_of_names_reports_writes_and_deletions(case):
     client, standin = open_store(case)
-    empty = client.list_names('zones/').ok_value
+    empty = client.list_keys('zones/').ok_value
     standin.set_item('zones/a', '')
-    changed = client.wait_for_names('zones/', empty.revision, 1)
+    changed = client.wait_for_key_changes('zones/', empty.revision, 1)
     case.assertEqual(changed.ok_value.revision, 0)
-    listed = client.list_names('zones/').ok_value
+    listed = client.list_keys('zones/').ok_value
     case.assertEqual(listed.keys, ['zones/a'])
     standin.revoke('zones/a')
-    changed = client.wait_for_names('zones/', listed.revision, 1)
+    changed = client.wait_for_key_changes('zones/', listed.revision, 1)
     case.assertEqual(changed.ok_value.revision, 0)
 
 
 def test_unchanged_watch_of_names_returns_a_later_revision(case):
     client, standin = open_store(case)
-    empty = client.list_names('zones/').ok_value
+    empty = client.list_keys('zones/').ok_value
     standin.set_item('other', '')
-    found = client.wait_for_names('zones/', empty.revision, 0.05).ok_value
+    found = client.wait_for_key_changes(
+        'zones/', empty.revision, 0.05
+    ).ok_value
     case.assertGreater(found.revision, empty.revision)
 
 
 def test_names_are_reported_changed_after_dropped_history(case):
     client, standin = open_store(case)
     standin.faults.history = 10**6
-    found = client.wait_for_names('zones/', 3, 0.05)
+    found = client.wait_for_key_changes('zones/', 3, 0.05)
     case.assertEqual(found.ok_value.revision, 0)
--- a/packages/scheduler/portwharf/scheduler/configuration.py
+++ b/packages/scheduler/portwharf/scheduler/configuration.py
@@ -36,9 +36,9 @@
 _MAX_AMOUNT = 10**9
 
 _RESOURCES = {
-    voluptuous.Required('cpu_milli'): settings.whole(0, _MAX_AMOUNT),
-    voluptuous.Required('memory_mb'): settings.whole(0, _MAX_AMOUNT),
-    voluptuous.Optional('accelerators', default=0): settings.whole(0, 10**6),
+    voluptuous.Required('cpu_milli'): settings.integer(0, _MAX_AMOUNT),
+    voluptuous.Required('memory_mb'): settings.integer(0, _MAX_AMOUNT),
+    voluptuous.Optional('accelerators', default=0): settings.integer(0, 10**6),
 }
 SCHEMA = voluptuous.Schema(
     {
@@ -58,7 +58,7 @@
         },
         voluptuous.Optional('services', default=dict): {
             str: {
-                voluptuous.Required('target_ms'): settings.whole(1, 600_000),
+                voluptuous.Required('target_ms'): settings.integer(1, 600_000),
                 voluptuous.Required('target_ratio'): settings.number(
                     0.5, 0.99999
                 ),
@@ -209,7 +209,7 @@
         """Return the :class:`Configuration` in force."""
         return self._current
 
-    def follow(self, call):
+    def add_listener(self, call):
         """Register a function without arguments, called after each change."""
         self._listeners.append(call)
 
@@ -218,7 +218,7 @@
         current = self._current
         return messages.ConfigUpdate(current.revision, current.text)
 
-    def offer(self, revision, text):
+    def update(self, revision, text):
         """Put a configuration in force if it is newer and valid.
 
         :returns: whether it is now in force
@@ -298,7 +298,7 @@
         return False
 
     def _offer(self, entry):
-        self._keeper.offer(entry.revision, entry.value.decode())
+        self._keeper.update(entry.revision, entry.value.decode())
 
 
 def propose_configuration(kv, base_revision, text):
--- a/packages/scheduler/portwharf/scheduler/decisions/gangs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/gangs.py
@@ -11,24 +11,24 @@
 import collections
 
 from portwharf.core import data
-from portwharf.scheduler.decisions import choosing
+from portwharf.scheduler.decisions import vm_choice
 from portwharf.scheduler import events
 
 
 def choose_vms(demand, views, judge):
     """Choose a VM for each task of a gang.
 
-    :returns: list of ``choosing.Choice``, whose views are copies; the last
+    :returns: list of ``vm_choice.Choice``, whose views are copies; the last
         one has no view if the gang does not fit
     """
     copies = [view.copy() for view in views]
     chosen = []
     for _ in demand.tasks:
-        choice = choosing.choose_vm(demand, copies, judge)
+        choice = vm_choice.choose_vm(demand, copies, judge)
         chosen.append(choice)
         if choice.view is None:
             break
-        choosing.count_placement(demand, choice.view)
+        vm_choice.count_placement(demand, choice.view)
     # Undo what count_placement added to the demand itself.
     for choice in chosen:
         if choice.view is not None:
@@ -70,7 +70,7 @@
     )
 
 
-def end_others(record, event):
+def end_other_members(record, event):
     """Return the events that end the other members of a gang.
 
     :param record: the gang's ``state.WorkloadRecord``
@@ -85,7 +85,7 @@
     ]
 
 
-def list_broken(record):
+def list_members_to_stop(record):
     """Return the members of a broken gang that must be stopped."""
     return [
         task
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies.py
@@ -3,10 +3,10 @@
 """Throttles and evicts batch tasks that put services' targets at risk.
 
 The remedies escalate: nothing more is placed beside the service (placement
-asks :meth:`Remedies.judge`); then the task that slows it most, relative to the
-cost of stopping that task, is throttled; then it is evicted. After each action
-measurements get time to show its effect. Evictions are rate-limited for the
-whole shard.
+asks :meth:`Remedies.predict_effect`); then the task that slows it most,
+relative to the cost of stopping that task, is throttled; then it is evicted.
+After each action measurements get time to show its effect. Evictions are
+rate-limited for the whole shard.
 """
 
 import collections
@@ -112,7 +112,7 @@
         return True
 
 
-class Peaks:
+class PeakLoadTracker:
     """Tracks peak loads, which decay with time."""
 
     def __init__(self):
@@ -138,7 +138,7 @@
         self.model = model
         self.headroom = HEADROOM_FACTOR
         self.late_before_eviction = LATE_BEFORE_EVICTION
-        self.brake = EvictionBudget()
+        self.eviction_budget = EvictionBudget()
         # Late measurements since the last good one, by VM and service.
         self._late = collections.Counter()
         # Time before which a VM gets no further action.
@@ -153,7 +153,7 @@
             1.0, weights.evictions
         )
 
-    def judge(self, services, kinds, kind):
+    def predict_effect(self, services, kinds, kind):
         """Predict the effect of placing one more task beside services.
 
         :param services: list of :class:`ServiceView` on the VM
@@ -217,7 +217,7 @@
         if not victim.throttled:
             reason = 'throttled-beside-a-service'
             return Action(victim.task, vm, reason, THROTTLE_PERCENT)
-        if not self.brake.take(now):
+        if not self.eviction_budget.take(now):
             return None
         return Action(victim.task, vm, 'slows-a-service')
 
--- a/packages/side/portwharf/side/crashes.py
+++ b/packages/side/portwharf/side/crashes.py
@@ -10,13 +10,13 @@
 
 import dataclasses
 
-from portwharf.core import recent
+from portwharf.core import bounded_cache
 
 # Attempts whose start or crash is remembered.
 MAX_ATTEMPTS = 20_000
 # ``ran_ms`` of an attempt whose start was not confirmed to this side process.
 UNKNOWN = -1
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,10 +36,10 @@
     """Tracks the crashes of one worker; used only by the agent's thread."""
 
     def __init__(self):
-        self._starts = recent.Recent(MAX_ATTEMPTS)
-        self._crashes = recent.Recent(MAX_ATTEMPTS)
-        # The ``data.LifeId`` of the worker's incarnation at the last poll, or
-        # None, and whether it was draining.
+        self._starts = bounded_cache.BoundedCache(MAX_ATTEMPTS)
+        self._crashes = bounded_cache.BoundedCache(MAX_ATTEMPTS)
+        # The ``data.IncarnationId`` of the worker at the last poll, or None,
+        # and whether it was draining.
         self._life = None
         self._was_draining = False
 
@@ -68,17 +68,17 @@
     def record_crash(self, life, names, now):
         """Record the attempts that may have run when the worker crashed.
 
-        :param life: the ``data.LifeId`` of the crashed incarnation
+        :param life: the ``data.IncarnationId`` of the crashed incarnation
         :param names: attempts as (task, attempt)
         :returns: the crash's name
         """
-        crash = life.name or str(int(now * _MS))
+        crash = life.name or str(int(now * _MS_PER_SECOND))
         for name in names:
             started_at = self._starts.get(name)
             ran_ms = (
                 UNKNOWN
                 if started_at is None
-                else int((now - started_at) * _MS)
+                else int((now - started_at) * _MS_PER_SECOND)
             )
             self._crashes.put(name, Crash(crash, ran_ms))
         return crash
--- a/packages/store/portwharf/store/__init__.py
+++ b/packages/store/portwharf/store/__init__.py
@@ -4,26 +4,26 @@
 
 from portwharf.store.base import Entry
 from portwharf.store.base import find_prefix_end
+from portwharf.store.base import KeyList
 from portwharf.store.base import LeaseStore
 from portwharf.store.base import MAX_VALUE_BYTES
-from portwharf.store.base import Names
 from portwharf.store.base import Store
 from portwharf.store.base import StoreError
-from portwharf.store.base import Swap
-from portwharf.store.budget import BudgetedStore
+from portwharf.store.base import WriteResult
 from portwharf.store.etcd import EtcdStore
 from portwharf.store.etcd import open_etcd
+from portwharf.store.rate_limit import RateLimitedStore
 
 __all__ = (
-    'BudgetedStore',
+    'RateLimitedStore',
     'Entry',
     'EtcdStore',
     'LeaseStore',
     'MAX_VALUE_BYTES',
-    'Names',
+    'KeyList',
     'Store',
     'StoreError',
-    'Swap',
+    'WriteResult',
     'find_prefix_end',
     'open_etcd',
 )
