--- a/packages/callers/portwharf/callers/service.py
+++ b/packages/callers/portwharf/callers/service.py
@@ -47,8 +47,8 @@
     payload: bytes = b''
     caller: str = ''
     sent_before: bool = False
-    # Set on admission: the caller has more requests in progress than its
-    # share.
+    # Tells whether the caller has more requests in progress than its share, as
+    # found on admission.
     excess: bool = False
 
 
--- a/packages/entry/portwharf/entry/delays.py
+++ b/packages/entry/portwharf/entry/delays.py
@@ -16,7 +16,7 @@
 
 # Causes, in the order of the report's columns; the values are its headings.
 
-# From the client's first attempt to the acceptance of the job.
+# Time from the client's first attempt to the acceptance of the job.
 SUBMIT = 'answer'
 # No owner made decisions.
 NO_OWNER = 'no owner'
@@ -28,7 +28,7 @@
 HELD_BACK = 'held back'
 # Run time of the last attempt at full pace.
 RUN = 'run'
-# Lost because the side slowed the task down.
+# Run time lost because the side slowed the task down.
 PACED = 'paced'
 # Run time of the last attempt beyond RUN and PACED, or a late report.
 SLOW = 'slow or told late'
@@ -37,7 +37,7 @@
 MOVED = 'moved'
 LOST = 'lost'
 REFUSED = 'refused'
-# Not explained by the logs.
+# Time that the logs do not explain.
 UNEXPLAINED = 'untold'
 CAUSES = (
     SUBMIT,
--- a/packages/entry/portwharf/entry/graceful_shutdown.py
+++ b/packages/entry/portwharf/entry/graceful_shutdown.py
@@ -11,7 +11,8 @@
 import contextlib
 import threading
 
-# Without calls for this long, the balancer has stopped sending any.
+# Time without calls after which the balancer is taken to have stopped sending
+# any.
 QUIET_SECONDS = 0.5
 # Least time limit of a call; an owner that is up answers within it.
 MIN_CALL_SECONDS = 0.1
--- a/packages/entry/portwharf/entry/job_history.py
+++ b/packages/entry/portwharf/entry/job_history.py
@@ -116,7 +116,7 @@
 
     def __init__(self, histories):
         self._histories = histories
-        # For each owner: its start, and the time of its last decision.
+        # Pairs of the start of an owner and the time of its last decision.
         self._owners = []
         self._handlers = {
             'submit answered': self._add_submission,
--- a/packages/entry/portwharf/entry/limiter.py
+++ b/packages/entry/portwharf/entry/limiter.py
@@ -26,7 +26,7 @@
 _DECREASE_FACTOR = 0.98
 # Minimum interval between two decreases.
 _DECREASE_INTERVAL_SECONDS = 0.05
-# Callers within their fair share may together exceed the limit by this.
+# Callers within their fair share may together exceed the limit by this factor.
 OVERDRAFT_FACTOR = 2.0
 RETRY_AFTER_MS = 200
 
@@ -55,7 +55,8 @@
 
     REFUSED = 0
     ADMITTED = 1
-    # Admitted above the caller's share: sides queue it behind the others.
+    # The request is admitted above the caller's share; sides queue it behind
+    # the others.
     EXCESS = 2
 
 
--- a/packages/entry/portwharf/entry/ratings.py
+++ b/packages/entry/portwharf/entry/ratings.py
@@ -166,7 +166,8 @@
         seconds = min(seconds, MAX_EJECT_SECONDS)
         rating.ejected_until = now + seconds * self._random.uniform(0.8, 1.2)
         rating.ejections += 1
-        # After the ejection a single failure is enough to eject it again.
+        # A single failure after this ejection is enough to eject the endpoint
+        # again.
         rating.row = EJECT_FAILURES - 1
 
 
--- a/packages/entry/portwharf/entry/side_links.py
+++ b/packages/entry/portwharf/entry/side_links.py
@@ -229,7 +229,7 @@
             return
         exchange = self._exchanges.get(getattr(message, 'id', None))
         if exchange is None:
-            # The answer to a request that was withdrawn.
+            # This answers a request that was withdrawn.
             return
         if isinstance(message, messages.Answer):
             self.view.state.in_flight = message.in_flight
@@ -271,7 +271,7 @@
         self._not_live = frozenset()
         self._listed_vms = {}
         self._stop = threading.Event()
-        # Set when the selection of sides may change.
+        # This event is set when the selection of sides may change.
         self._changed = threading.Event()
         self.vmlist_loaded = threading.Event()
         self._thread = threading.Thread(
--- a/packages/entry/portwharf/entry/side_subset.py
+++ b/packages/entry/portwharf/entry/side_subset.py
@@ -9,9 +9,10 @@
 
 from portwharf.core import ids
 
-# Besides the owner; enough that some remain when a rack fails.
+# Least number of reachable sides to link to, besides the owner. It is high
+# enough that some remain when a rack fails.
 MIN_LINKS = 12
-# With many sides down, up to this many times MIN_LINKS are tried.
+# Factor on MIN_LINKS that limits the sides tried while many are down.
 _MAX_LINKS_FACTOR = 3
 
 
--- a/packages/peers/portwharf/peers/links.py
+++ b/packages/peers/portwharf/peers/links.py
@@ -27,7 +27,8 @@
         # Seconds of silence after which a connection is closed.
         self.idle = streams.IDLE_SECONDS
         self._stop = threading.Event()
-        # Set from dialling on; ``_conn`` only after the greetings.
+        # The connection from dialling on; ``_conn`` is set only after the
+        # greetings.
         self._dialled = None
         self._conn = None
         self._thread = threading.Thread(
@@ -98,7 +99,8 @@
             with self.dial() as conn:
                 self._handle_messages(conn)
         except streams.IdleTimeoutError as exc:
-            # The idle limit was wait enough.
+            # The connection was silent for the whole idle limit, so it is
+            # redialled at once.
             wait_seconds = 0.0
             streams.log_closed(exc, self.name)
         except streams.PeerError as exc:
--- a/packages/peers/portwharf/peers/messages.py
+++ b/packages/peers/portwharf/peers/messages.py
@@ -54,8 +54,9 @@
     memory_mb: int = 0
     # The worker itself refused to start the attempt, as the side reports.
     at_worker: bool = False
-    # For an attempt lost in a crash of its worker: which crash of that VM's
-    # worker, and how long after the start, in ms; -1 if that is unknown.
+    # The crash of the VM's worker in which the attempt was lost, or '', and
+    # the time from the attempt's start to the crash, in ms, or -1 if that is
+    # unknown.
     crash: str = ''
     ran_ms: int = 0
 
@@ -270,16 +271,17 @@
     program: str = ''
     argument: bytes = b''
     checkpoint: str = ''
-    # For a task that fills: the processors that it requests, in thousandths.
-    # It uses what others leave unused and may be throttled for them. Else 0.
+    # Processors that a filling task requests, in thousandths; 0 for other
+    # tasks. A filling task uses what others leave unused and may be throttled
+    # for them.
     fill_milli: int = 0
     # The target for its tail latency, 0 for none.
     target_ms: int = 0
     # The policy's ticket for this VM's worker, or ''.
     ticket: str = ''
-    # For a task that fills: the remaining work of its job in processor
-    # seconds, and the wall-clock times by which the job should end and after
-    # which its result is worthless.
+    # Remaining work of a filling task's job, in processor seconds, and the
+    # wall-clock times, in ms, by which the job should end and after which its
+    # result is worthless.
     left: float = 0.0
     due_ms: int = 0
     late_ms: int = 0
--- a/packages/peers/portwharf/peers/streams.py
+++ b/packages/peers/portwharf/peers/streams.py
@@ -31,7 +31,8 @@
 
 LOG = logging.getLogger(__name__)
 
-# Large enough for a chunk of payload or a list of reports.
+# Maximum size of a frame, large enough for a chunk of payload or a list of
+# reports.
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 # Payloads are sent in pieces, so that small frames can go in between.
 CHUNK_BYTES = 64 * 1024
@@ -46,7 +47,7 @@
 # Limit for sending a frame on a slow path. On a silent path the reading
 # thread closes the connection sooner.
 SEND_SECONDS = 10.0
-# How often a blocked sender checks whether its connection was closed.
+# Interval at which a blocked sender checks whether its connection was closed.
 _BLOCKED_POLL_SECONDS = 0.1
 _READ_BYTES = 64 * 1024
 _BACKLOG = 512
@@ -83,7 +84,7 @@
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setblocking(False)
-        # Held for each read or write, none of which blocks. A TLS object
+        # Lock held for each read or write, none of which blocks. A TLS object
         # used by two threads at once corrupts memory.
         self._io_lock = threading.Lock()
         self._read_poll = select.poll()
--- a/packages/platform/portwharf/platform/job_api.py
+++ b/packages/platform/portwharf/platform/job_api.py
@@ -19,19 +19,20 @@
 
 READINESS_PATH = '/portwharf/readiness'
 MAX_BODY_BYTES = 1024 * 1024
-# How long a call waits for an owner and its answer, as a limit and as a
-# share of the client's deadline. The share leaves time to try once more at
-# another entry.
+# Limits of the time that a call waits for an owner and its answer: in seconds,
+# and as a share of the client's deadline. The share leaves time for another
+# attempt at another entry.
 CALL_SECONDS = 2.0
 DEADLINE_SHARE = 0.45
-# For clients that send no deadline.
+# Deadline of calls whose client sends none.
 DEFAULT_DEADLINE_MS = 3000
-# How long an owner is searched for before a call is refused, which the
-# client can then try at another entry.
+# Time limit of the search for an owner. The call is then refused, and the
+# client can try another entry.
 FIND_OWNER_SECONDS = 0.5
-# Sent to clients after a refusal; an owner is replaced within this time.
+# Wait that a refusal asks of the client; an owner is replaced within this
+# time.
 RETRY_AFTER_SECONDS = 1
-# How old a cached count of pending jobs may be.
+# Maximum age of a cached count of pending jobs.
 PENDING_MAX_AGE_SECONDS = 0.8
 _JOB_ID = re.compile('[0-9a-fA-F]{16}')
 _SHARD = 0
--- a/packages/platform/portwharf/platform/programs.py
+++ b/packages/platform/portwharf/platform/programs.py
@@ -29,13 +29,13 @@
 APPEND_SECONDS = 0.03
 # The balancer checks each second, and skips an entry after two failures.
 BALANCER_NOTICE_SECONDS = 2.5
-# Time before the platform kills the process, by which all calls are answered,
-# and by which the process exits.
+# Times before the platform kills the process: all calls are answered by the
+# first, and the process exits by the second.
 ANSWER_MARGIN_SECONDS = 1.5
 END_MARGIN_SECONDS = 0.5
 # During a stop, connections that have been idle for so long are closed.
 IDLE_CONNECTION_SECONDS = 1.0
-# For the last lines of the log to be written.
+# Time limit for printing the last lines of the log.
 LOG_FLUSH_SECONDS = 0.2
 
 
--- a/packages/platform/portwharf/platform/runner.py
+++ b/packages/platform/portwharf/platform/runner.py
@@ -37,9 +37,9 @@
 
 LOG = logging.getLogger(__name__)
 
-# How long a runner delays its response until an attempt ends.
+# Maximum time that a runner delays its response until an attempt ends.
 WAIT_SECONDS = 1.0
-# Between two requests while listed ended attempts are not acknowledged.
+# Wait between two requests while listed ended attempts are not acknowledged.
 _UNACKED_POLL_SECONDS = 0.05
 _RETRY_SECONDS = 0.3
 _OK = 200
@@ -49,7 +49,8 @@
 # Other statuses of a start that was certainly not carried out.
 _NOT_STARTED = (400, _MISDIRECTED, 429, 503)
 _MS = 1000
-# Starts to remember; all starts of running attempts are kept besides.
+# Number of remembered starts besides those of running attempts, which are all
+# kept.
 MAX_REMEMBERED_STARTS = 1000
 
 _REFUSALS = {
@@ -87,15 +88,16 @@
         self._max_hold_ms = max_hold_ms
         self._lock = threading.Lock()
         self._incarnations = workers.IncarnationTracker()
-        # Of the current incarnation: its ended attempts, and the end of the
-        # latest lease on its clock.
+        # Ended attempts of the current incarnation, and the end of its latest
+        # lease, in ms on its clock.
         self._ends = ended_attempts.EndedAttempts()
         self._lease_until_ms = 0
         # The incarnation that sent the latest list. Orders are based on that
         # list and go to this incarnation only. The current incarnation may be
         # a later one whose list was lost.
         self._listed_life = data.IncarnationId()
-        # What attempts were started with, as listings do not include it.
+        # The ``workers.Start`` of each attempt by (task, attempt), as listings
+        # do not include it.
         self._starts = bounded_cache.BoundedCache(MAX_REMEMBERED_STARTS)
         self._on_change = None
         self._end_logged = threading.Event()
@@ -358,7 +360,8 @@
         task, run, saved, percent, *measurements = row
         measurement = measurements[0] if measurements else 0
         start = self._starts.get((task, run)) or workers.Start()
-        # Unknown if a former process of this side gave the lease.
+        # The end of the lease is unknown if a former process of this side gave
+        # it.
         until = self._lease_until_ms or now_ms + self._max_hold_ms
         return workers.Attempt(
             task,
--- a/packages/platform/portwharf/platform/side_environment.py
+++ b/packages/platform/portwharf/platform/side_environment.py
@@ -11,7 +11,8 @@
 from portwharf.side import external_services
 from portwharf import vmlist
 
-# How long a call waits for the registration, which provides the token.
+# Maximum time that a call waits for the registration, which provides the
+# token.
 _REGISTRATION_WAIT_SECONDS = 0.1
 _HEARTBEAT_THREADS = 2
 
--- a/packages/scheduler/portwharf/scheduler/configuration.py
+++ b/packages/scheduler/portwharf/scheduler/configuration.py
@@ -30,8 +30,9 @@
 _WATCH_SECONDS = 5.0
 # First wait after a failure, with a jitter of half of it.
 RETRY_SECONDS = 0.3
-# Kept short, as an entry has to follow soon after an outage; only owners and
-# entries watch, so the store sees few retries.
+# Longest wait after a failure. It is short, as an entry has to follow soon
+# after an outage. Only owners and entries watch, so the store sees few
+# retries.
 _MAX_RETRY_SECONDS = 1.0
 _MAX_AMOUNT = 10**9
 
@@ -263,7 +264,7 @@
         return self
 
     def __exit__(self, *exc_info):
-        # Not joined: the daemon thread may be blocked in a watch.
+        # The daemon thread is not joined, as it may be blocked in a watch.
         self._stop.set()
 
     def _run(self):
@@ -332,7 +333,7 @@
     if entry and revision > base_revision and entry.value == raw:
         return result.Ok(revision)
     if answer.is_err() and revision == base_revision:
-        # Not written yet, but the lost call may still arrive.
+        # The text is not written yet, but the lost call may still arrive.
         return result.Err([_describe_outage(answer.err_value.unknown)])
     return result.Err([_describe_conflict(base_revision, raw, entry)])
 
--- a/packages/scheduler/portwharf/scheduler/crashloop.py
+++ b/packages/scheduler/portwharf/scheduler/crashloop.py
@@ -28,7 +28,8 @@
         self._state = state
         self._members = members
         self._times = suspects.CrashHistory(clock.read_monotonic())
-        # When suspects' attempts were reported as running, by (task, attempt).
+        # Time at which a suspect's attempt was reported as running, by (task,
+        # attempt).
         self._running_since = {}
         # (task, attempt) of attempts that were started as trials.
         self._trials = set()
--- a/packages/scheduler/portwharf/scheduler/decisions/backlog.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/backlog.py
@@ -20,8 +20,8 @@
 AGEING_PER_MINUTE = 2.0
 MAX_AGEING = 400.0
 _NO_DEADLINE = float('inf')
-# For this long after its job has become too late to matter, a step is served
-# last.
+# Time after a job has become too late to matter during which its steps are
+# served last.
 _LATE_DEFERRAL_MS = 30_000
 # Relative error of estimated run times.
 _ESTIMATE_TOLERANCE = 0.3
@@ -64,8 +64,8 @@
         self.record = record
         self.avoided = avoided
         self.step_forecast = step_forecast or forecast.StepForecast()
-        # Whether it waits for a VM that suits it, rather than accept any
-        # with room.
+        # Tells whether the workload waits for a VM that suits it instead of
+        # accepting any VM with room.
         self.is_selective = True
         # The rack that its tasks should share, '' for any.
         self.rack = ''
--- a/packages/scheduler/portwharf/scheduler/decisions/health.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/health.py
@@ -14,22 +14,23 @@
 import collections
 import dataclasses
 
-# Failures in a row, and the workloads that they belong to, that quarantine a
-# worker.
+# Number of failures in a row that quarantine a worker, and the number of
+# workloads that they have to belong to.
 QUARANTINE_FAILURES = 4
 QUARANTINE_WORKLOADS = 2
 # Failures of one job, or of one workload, that count against a worker: they
 # may all be the job's own fault.
 MAX_COUNTED_PER_JOB = 2
-# A first quarantine, and the longest one: each failed probe doubles it.
+# Length of a first quarantine, which each failed probe doubles, and of the
+# longest one.
 MIN_QUARANTINE_SECONDS = 5.0
 MAX_QUARANTINE_SECONDS = 60.0
-# A probe without a result for so long is followed by another one, as a task
-# may run for any time.
+# Time after which a probe without a result is followed by another one, as a
+# task may run for any time.
 PROBE_TIMEOUT_SECONDS = 4.0
-# How long a workload avoids a worker that it failed on. The time doubles with
-# each later failure there, but not with failures while it is already avoided,
-# and starts anew after a long time without any.
+# First and longest time that a workload avoids a worker that it failed on.
+# Each later failure there doubles the time, except a failure while the worker
+# is already avoided. After a long time without failures it starts anew.
 MIN_AVOID_SECONDS = 2.0
 MAX_AVOID_SECONDS = 120.0
 
--- a/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
@@ -16,13 +16,15 @@
 
 # Ended workloads and jobs are kept for this long.
 KEEP_ENDED_SECONDS = 24 * 3600
-# Ended ones beyond this number are dropped earlier, the oldest first.
+# Ended workloads and jobs beyond this number are dropped earlier, the oldest
+# first.
 MAX_ENDED = 2000
-# How long a step with no placed task waits for a VM that suits it while others
-# have room: a slow start is better than none.
+# Time that a step with no placed task waits for a VM that suits it while
+# others have room. It is short, as a slow start is better than none.
 FIRST_PATIENCE_SECONDS = 1.5
-# The same for the remaining tasks of a step that has some placed: a task on a
-# slow VM would delay the step for longer than waiting for a better one.
+# Time that the remaining tasks of a partly placed step wait for such a VM. It
+# is longer, as a task on a slow VM would delay the step for longer than the
+# wait.
 REST_PATIENCE_SECONDS = 8.0
 _MS_PER_SECOND = 1000
 
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies.py
@@ -21,9 +21,11 @@
 _DEFAULT_TAIL_WEIGHT = 5.0
 # Standard deviations that are added to a predicted time.
 CAUTION_DEVIATIONS = 1.5
-# Late measurements since the last good one before a task is throttled.
+# Number of late measurements since the last good one before a task is
+# throttled.
 LATE_BEFORE_ACTION = 3
-# The same before a throttled task is evicted, times the evictions' weight.
+# Number of late measurements since the last good one before a throttled task
+# is evicted. The operators' weight of evictions, if above 1, multiplies it.
 LATE_BEFORE_EVICTION = 5
 # Share of the target over the headroom factor below which a service has
 # recovered.
--- a/packages/scheduler/portwharf/scheduler/decisions/scoring.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/scoring.py
@@ -18,18 +18,20 @@
 _BUSY_WEIGHT = 1.0
 _FAR_RACK_PENALTY = 2.0
 _SLOWDOWN_WEIGHT = 3.0
-# For using a VM without serving tasks, which is best left to filling tasks:
-# by a serving task, and by other work of jobs.
+# Penalties for using a VM without serving tasks, which is best left to filling
+# tasks: for a serving task, and for other work of jobs.
 _OPEN_VM_PENALTY = 3.0
 _CLEAR_VM_PENALTY = 0.4
 _SIZE_SCALE_MILLI = 1_000_000
-# Small, as filling tasks end within seconds while serving tasks stay.
+# Weight of the filling tasks on a VM for a serving task. It is small, as
+# filling tasks end within seconds while serving tasks stay.
 _FILLED_WEIGHT = 0.05
 _STRANDED_WEIGHT = 4.0
 _SAME_RACK_PENALTY = 0.5
 _SAME_ZONE_PENALTY = 0.25
 _SAME_VM_PENALTY = 4.0
-# For a crash suspect beside serving tasks, and for others beside a suspect.
+# Penalty for a crash suspect beside serving tasks, and for other tasks beside
+# a suspect.
 _SUSPECT_PENALTY = 2.0
 
 
--- a/packages/scheduler/portwharf/scheduler/decisions/service_protection.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/service_protection.py
@@ -22,7 +22,6 @@
 # Older measurements of a replica are ignored.
 STALE_SECONDS = 60.0
 REASON_ROOM = 'makes-room'
-# Higher than any importance.
 _ABOVE_ANY_IMPORTANCE = 10_000
 _MS_PER_SECOND = 1000
 
--- a/packages/scheduler/portwharf/scheduler/decisions/task_moves.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/task_moves.py
@@ -30,9 +30,10 @@
 MAX_TIME_SHARE = 0.6
 # Run time of a task without an estimate.
 DEFAULT_RUN_MS = 4500
-# How long a moved task is not placed on the VM that it came from.
+# Time during which a moved task is not placed on the VM that it came from.
 AVOID_ORIGIN_SECONDS = 10.0
-# Bounded, so that the effect of the moves is seen before the next pass.
+# Maximum number of moves in one pass. It is small, so that the effect of the
+# moves is seen before the next pass.
 MAX_MOVES_PER_PASS = 4
 
 
--- a/packages/scheduler/portwharf/scheduler/interference_updates.py
+++ b/packages/scheduler/portwharf/scheduler/interference_updates.py
@@ -11,7 +11,7 @@
 from portwharf.peers import messages
 from portwharf.scheduler.decisions import tail_interference
 
-# Between two updates to all sides. An update carries every pair.
+# Interval between two updates to all sides. An update carries every pair.
 UPDATE_INTERVAL_SECONDS = 0.5
 
 
--- a/packages/scheduler/portwharf/scheduler/membership.py
+++ b/packages/scheduler/portwharf/scheduler/membership.py
@@ -17,8 +17,8 @@
 
 # Longest time that a new owner waits for the reports of its members.
 MAX_SETTLE_SECONDS = 1.0
-# It begins earlier, but not before ``MIN_SETTLE_SECONDS``, once this share of
-# the members has reported.
+# Share of the members whose reports let a new owner begin earlier, but not
+# before ``MIN_SETTLE_SECONDS``.
 SETTLE_SHARE = 0.75
 MIN_SETTLE_SECONDS = 0.25
 VM_LIST_INTERVAL_SECONDS = 5.0
--- a/packages/scheduler/portwharf/scheduler/owner.py
+++ b/packages/scheduler/portwharf/scheduler/owner.py
@@ -32,7 +32,7 @@
 
 LOG = logging.getLogger(__name__)
 
-# Largest number of items in one pass; keeps log entries small.
+# Largest number of items in one pass; the limit keeps log entries small.
 MAX_ITEMS = 400
 SNAPSHOT_ENTRIES = 300
 # Changing calls are refused once an append has been pending this long.
--- a/packages/scheduler/portwharf/scheduler/policy.py
+++ b/packages/scheduler/portwharf/scheduler/policy.py
@@ -22,9 +22,9 @@
 
 # The service computes the chain of a step from this many workers.
 MAX_WORKERS_PER_QUERY = 30
-# Steps whose answers are cached.
+# Maximum number of steps whose answers are cached.
 MAX_STEPS = 2000
-# After a query without an answer.
+# Wait after a query that was not answered.
 _RETRY_SECONDS = 0.2
 # A ticket is used only during this fraction of its validity: the start has to
 # arrive before it expires.
--- a/packages/scheduler/portwharf/scheduler/reconcile.py
+++ b/packages/scheduler/portwharf/scheduler/reconcile.py
@@ -16,7 +16,7 @@
 from portwharf.scheduler import events
 from portwharf.scheduler import suspects
 
-# For batch tasks without a limit of their own. All attempts count, except
+# Limit for batch tasks whose workload sets none. All attempts count, except
 # evicted ones; the task fails if the last of them fails.
 MAX_FAILURES = 3
 
--- a/packages/scheduler/portwharf/scheduler/shardlog.py
+++ b/packages/scheduler/portwharf/scheduler/shardlog.py
@@ -31,12 +31,12 @@
 
 # Largest number of entries read in one call.
 READ_MAX_ENTRIES = 200
-# Keeps an entry well under the size limit of the store.
+# Size limit of an entry, well under that of the store.
 MAX_ENTRY_BYTES = 700_000
 SNAPSHOT_CHUNK_BYTES = 700_000
 _MAX_READ_ATTEMPTS = 5
-# The fastest level; events repeat names and reasons and compress well. All
-# sides read the log at once after a power loss, so its size matters.
+# The fastest level is enough, as events repeat names and reasons and compress
+# well. All sides read the log at once after a power loss, so its size matters.
 _COMPRESSION_LEVEL = 1
 # First byte of a zlib stream, which no msgpack map starts with.
 _ZLIB_FIRST_BYTE = 0x78
--- a/packages/scheduler/portwharf/scheduler/state.py
+++ b/packages/scheduler/portwharf/scheduler/state.py
@@ -114,8 +114,8 @@
         # Workloads that may still have tasks to run, by id.
         self.unended = {}
         self.tasks = {}
-        # By VM: resources reserved by placed tasks, placed tasks by id, and
-        # prepared tasks by id.
+        # Resources reserved by placed tasks, placed tasks by id, and prepared
+        # tasks by id, each for every VM.
         self.reserved = collections.defaultdict(data.Resources)
         self.held = collections.defaultdict(dict)
         self.prepared = collections.defaultdict(dict)
--- a/packages/scheduler/portwharf/scheduler/suspects.py
+++ b/packages/scheduler/portwharf/scheduler/suspects.py
@@ -33,14 +33,15 @@
 
 from portwharf.core import data
 
-# A crash this soon after a task's start was likely caused by the task. Leaves
-# room for the time that a side takes to notice the crash.
+# A crash this soon after a task's start was likely caused by the task. The
+# value leaves room for the time that a side takes to notice the crash.
 CLOSE_TO_START_MS = 250
 # A task that has run for longer did not cause its worker's crash.
 STARTUP_MS = 3000
 # From this number of crashes on, a task is held back and assessed.
 SUSPECT_CRASHES = 2
-# Conclusive unless a task of another job was under as many of them.
+# Number of crashes from which on a task is given up, unless a task of another
+# job was under as many of them.
 GIVE_UP_CRASHES = 4
 MAX_CRASHES = 5
 # A quiet period is at least this long, and at least this many times the
@@ -51,11 +52,12 @@
 RECENT_GAPS = 3
 # Crashes further apart than this are not one series.
 MAX_SERIES_GAP_SECONDS = 5.0
-# After this a trial starts even if other workers go on crashing.
+# Time since a suspect's last crash after which its trial starts even if other
+# workers go on crashing.
 MAX_HOLD_SECONDS = 20.0
 # A worker counts as unstable for this long after a crash.
 UNSTABLE_SECONDS = 30.0
-# Longer than any of the intervals above.
+# Time that crashes are remembered, longer than any of the intervals above.
 RETENTION_SECONDS = 120.0
 
 
--- a/packages/scheduler/portwharf/scheduler/suspension_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspension_test.py
@@ -55,7 +55,7 @@
     made.isolate(former)
     made.cuts.discard(frozenset((former.vm.name, side.vm.name)))
     wake(former, clock_runs)
-    # For as long as the former owner relies on its last majority.
+    # The former owner relies on its last majority for this long.
     made.run(LIMITS.confirm, step=0.25)
     made.isolate(former)
     # The tasks on its worker last until their leases expire.
--- a/packages/scheduler/portwharf/scheduler/takeover.py
+++ b/packages/scheduler/portwharf/scheduler/takeover.py
@@ -31,7 +31,7 @@
 
 LOG = logging.getLogger(__name__)
 
-# Without an answer of a majority, silence must last this many times longer.
+# Factor on the silence before a takeover if no majority has answered.
 ISOLATED_FACTOR = 8
 _POLL_SECONDS = 0.1
 _FOUND_RETRY_SECONDS = 0.4
@@ -399,7 +399,8 @@
     def __init__(self):
         self.hearing = 0
         self.not_hearing = 0
-        # Those of ``not_hearing`` that have heard no owner since they started.
+        # Number of members in ``not_hearing`` that have heard no owner since
+        # they started.
         self.unheard = 0
 
     def count(self, answer):
--- a/packages/scheduler/portwharf/scheduler/zones.py
+++ b/packages/scheduler/portwharf/scheduler/zones.py
@@ -160,7 +160,7 @@
         return self
 
     def __exit__(self, *exc_info):
-        # Not joined: the daemon thread may be blocked in a watch.
+        # The daemon thread is not joined, as it may be blocked in a watch.
         self._stop.set()
 
     def _run(self):
--- a/packages/side/portwharf/side/agent.py
+++ b/packages/side/portwharf/side/agent.py
@@ -32,9 +32,10 @@
 LOG = logging.getLogger(__name__)
 
 _POLL_SECONDS = 0.4
-# Keeps the thread from spinning.
+# Shortest wait of the thread, which keeps it from spinning.
 _MIN_WAIT_SECONDS = 0.01
-# Doubled before each retry of a grant request.
+# Half of the wait before the first retry of a grant request. The wait doubles
+# before each retry.
 _INITIAL_RETRY_SECONDS = 0.02
 _MS = 1000
 
@@ -268,7 +269,7 @@
             return
         started = self._unconfirmed.has_started(message.task, message.attempt)
         if started and known is None:
-            # It ran in an earlier incarnation of the worker.
+            # The attempt ran in an earlier incarnation of the worker.
             name = (message.task, message.attempt)
             self._losses.report_gone([name], loss_reporter.GONE_UNLISTED)
             return
--- a/packages/side/portwharf/side/checkpoints.py
+++ b/packages/side/portwharf/side/checkpoints.py
@@ -22,8 +22,8 @@
     """Selects the checkpoints of one worker's attempts that are reported."""
 
     def __init__(self):
-        # When each attempt was first listed; its last reported checkpoint and
-        # the time of that report.
+        # Time at which each attempt was first listed, and its last reported
+        # checkpoint with the time of that report.
         self._first_seen = {}
         self._reported = {}
 
--- a/packages/side/portwharf/side/pacing.py
+++ b/packages/side/portwharf/side/pacing.py
@@ -85,7 +85,7 @@
         # The progress of each attempt, in percent.
         self._progress = {}
         self._throttle_factor = 1.0
-        # Since when a serving task has been over its target, or None.
+        # Time since which a serving task has been over its target, or None.
         self._over_since = None
         self._sample = None
         self._headrooms = []
--- a/packages/side/portwharf/side/process.py
+++ b/packages/side/portwharf/side/process.py
@@ -25,7 +25,7 @@
 
 LOG = logging.getLogger(__name__)
 
-# How long a planned stop waits for running requests.
+# Maximum time that a planned stop waits for running requests.
 DRAIN_SECONDS = 60
 # Time for entries to learn that this side is leaving.
 LEAVE_SECONDS = 1.0
--- a/packages/side/portwharf/side/runtimes.py
+++ b/packages/side/portwharf/side/runtimes.py
@@ -17,7 +17,8 @@
 MIN_PERCENT = 30
 # The run time is not estimated once the share has been below this.
 _MIN_SHARE = 10
-# Estimates that wait for a heartbeat; many tasks may end together.
+# Maximum number of estimates that wait for a heartbeat, as many tasks may end
+# together.
 MAX_DUE = 100
 _FULL = 100
 _MS = 1000
--- a/packages/side/portwharf/side/unconfirmed.py
+++ b/packages/side/portwharf/side/unconfirmed.py
@@ -32,8 +32,8 @@
         # The ``data.Resources`` of each unconfirmed start, by (task, attempt),
         # in the order in which stops are sent.
         self._starts = {}
-        # For each attempt to stop, by (task, attempt): whether to checkpoint
-        # it, and when the stop was last sent, or None.
+        # Attempts to stop, by (task, attempt): whether to checkpoint the
+        # attempt, and the time at which the stop was last sent, or None.
         self._stops = {}
         # The highest attempt of each task that may have started here.
         self._started = bounded_cache.BoundedCache(MAX_STARTED)
--- a/packages/testing/portwharf/testing/cluster_fakes.py
+++ b/packages/testing/portwharf/testing/cluster_fakes.py
@@ -25,7 +25,7 @@
 CAPACITY = data.Resources(2000, 2000)
 # Default time that a crashed worker takes to restart.
 RESTART_SECONDS = 3.3
-# How long starts may still assume the capacity from before a resize.
+# Time after a resize during which starts may still assume the former capacity.
 STALE_CAPACITY_SECONDS = 3.0
 _NO_ANSWER = result.Err('silent')
 _ORDER_NUMBERS = itertools.count(1)
@@ -127,7 +127,8 @@
         self.tails = {}
         self.paces = {}
         self.labels = []
-        # When the lease of all its attempts expires, on the worker's clock.
+        # Time at which the lease of all attempts expires, in ms on the
+        # worker's clock.
         self._until_ms = 0
         self.silent = False
         self.crashers = set()
--- a/packages/testing/portwharf/testing/crash_day.py
+++ b/packages/testing/portwharf/testing/crash_day.py
@@ -33,11 +33,11 @@
 VMS_PER_RACK = 3
 VM_CAPACITY = data.Resources(32_000, 125_000)
 DURATION_SECONDS = 30.0
-# From a placement decision to the start at the worker.
+# Range of the delay from a placement decision to the start at the worker.
 START_DELAY_SECONDS = (0.015, 0.06)
-# From a crash to its report to the owner.
+# Range of the delay from a crash to its report to the owner.
 NOTICE_DELAY_SECONDS = (0.005, 0.08)
-# From the start of a crasher to the crash of its worker.
+# Range of the delay from the start of a crasher to the crash of its worker.
 CRASH_DELAY_SECONDS = (0.004, 0.03)
 RESTART_SECONDS = 3.3
 _PASS_INTERVAL_SECONDS = 0.05
@@ -119,7 +119,8 @@
         self._runs = {
             self._format_vm_name(number): {} for number in range(VMS)
         }
-        # When each crashed worker is back, and the same as the owner knows it.
+        # Time at which each crashed worker is back: the actual one, and the
+        # one known to the owner.
         self._back_at = collections.defaultdict(float)
         self._known_away_until = collections.defaultdict(float)
         self._incarnations = collections.Counter()
@@ -127,7 +128,8 @@
         self._starts_answered = kind != 'unanswered'
         self._crashes_by_task = collections.Counter()
         self._given_up = {}
-        # When the owner learnt that a task was lost, until it starts again.
+        # Time at which the owner learnt that a task was lost, kept until the
+        # task starts again.
         self._lost_at = {}
         self._first_start = {}
         self.tally = Tally()
--- a/packages/testing/portwharf/testing/relay.py
+++ b/packages/testing/portwharf/testing/relay.py
@@ -33,11 +33,11 @@
         self._listener = socket.create_server((address, port), backlog=64)
         self._open_sockets = set()
         self._lock = threading.Lock()
-        # Set while data is forwarded, per direction.
+        # Events that are set while data is forwarded, one for each direction.
         self._to_target = threading.Event()
         self._from_target = threading.Event()
         self.silence(False)
-        # Shared by the connections accepted since the last freeze.
+        # Event shared by the connections accepted since the last freeze.
         self._hush_requested = threading.Event()
         self._stopped = threading.Event()
         self.refusing = False
@@ -133,14 +133,15 @@
                 if self.delay:
                     time.sleep(self.delay)
                 if hush_requested.is_set():
-                    # Stops reading, so that the sender's buffers fill up.
+                    # Reading stops here, so that the sender's buffers fill up.
                     self._stopped.wait()
                     break
                 sink.sendall(chunk)
         except OSError:
             pass
         if hush_requested.is_set():
-            # Keeps the peer's connection open although this one closed.
+            # The wait keeps the peer's connection open although this one
+            # closed.
             self._stopped.wait()
         _close_socket(source)
         _close_socket(sink)
--- a/packages/vmlist/portwharf/vmlist/registry.py
+++ b/packages/vmlist/portwharf/vmlist/registry.py
@@ -31,10 +31,12 @@
 
 PREFIX = 'vms/'
 LEASE_SECONDS = 6.0
-# A deleted key is written again after at most this and a call to the store.
+# A deleted key is written again after at most this time plus that of a call to
+# the store.
 RENEWAL_INTERVAL_SECONDS = 1.5
 _RETRY_INTERVAL_SECONDS = 0.1
-# Above the error from reading two clocks one after the other.
+# Shortest suspension that is logged, above the error from reading two clocks
+# one after the other.
 MIN_LOGGED_SUSPENSION_SECONDS = 0.1
 # One more than the highest port.
 PORT_LIMIT = 65536
--- a/packages/vmlist/portwharf/vmlist/registry_test.py
+++ b/packages/vmlist/portwharf/vmlist/registry_test.py
@@ -118,7 +118,7 @@
     registration, fake, vm = open_registration(case)
     registration.renew()
     other = vmlist.Registration(registration._kv, vm)
-    # As after a write that was lost on its way to the store.
+    # This is the state after a write that was lost on its way to the store.
     other._lease = other._kv.open_lease(5).ok_value
     case.assertTrue(other.renew())
     case.assertGreater(other.token, registration.token)
