--- a/packages/entry/portwharf/entry/limiter.py
+++ b/packages/entry/portwharf/entry/limiter.py
@@ -50,7 +50,7 @@
     load: float = 0.0
 
 
-class Admission(enum.Enum):
+class AdmissionDecision(enum.Enum):
     """Decision on a request."""
 
     REFUSED = 0
@@ -70,19 +70,19 @@
     def admit(self, service, caller):
         """Admit or refuse a request.
 
-        :returns: an :class:`Admission`; unless it is REFUSED,
+        :returns: an :class:`AdmissionDecision`; unless it is REFUSED,
             :meth:`release` must follow when the request ends
         """
         with self._lock:
             state = self._services.setdefault(service, _ServiceState())
             if not self._admits(state, caller):
-                return Admission.REFUSED
+                return AdmissionDecision.REFUSED
             state.total += 1
             state.callers[caller] += 1
             share = state.limit / len(state.callers)
             if state.callers[caller] > share:
-                return Admission.EXCESS
-            return Admission.ADMITTED
+                return AdmissionDecision.EXCESS
+            return AdmissionDecision.ADMITTED
 
     def release(self, service, caller):
         """Record the end of an admitted request."""
--- a/packages/entry/portwharf/entry/routing.py
+++ b/packages/entry/portwharf/entry/routing.py
@@ -104,8 +104,8 @@
     def _route_admitted(self, call, deadline):
         """Route a request unless the concurrency limit refuses it."""
         admitted = self._limiter.admit(call.service, call.caller)
-        call.excess = admitted is limiter.Admission.EXCESS
-        if admitted is limiter.Admission.REFUSED:
+        call.excess = admitted is limiter.AdmissionDecision.EXCESS
+        if admitted is limiter.AdmissionDecision.REFUSED:
             return callers.CallResult(
                 data.Outcome.NOT_RUN,
                 reason=REASON_OVERLOAD,
--- a/packages/scheduler/portwharf/scheduler/crashloop.py
+++ b/packages/scheduler/portwharf/scheduler/crashloop.py
@@ -63,7 +63,7 @@
             if len(task.crashes) >= suspects.SUSPECT_CRASHES:
                 decisionlog.log_suspect(task)
         for task in list(self._state.suspects.values()):
-            if self._assess(task) is suspects.ReportOutcome.GIVE_UP:
+            if self._assess(task) is suspects.Verdict.GIVE_UP:
                 ended = self._give_up(task, batch, add)
                 note_ended(ended, batch)
         for task in self._list_cleared():
@@ -76,7 +76,7 @@
         return {
             task.id
             for task in self._state.suspects.values()
-            if self._assess(task) is suspects.ReportOutcome.HOLD
+            if self._assess(task) is suspects.Verdict.HOLD
         }
 
     def mark_unstable(self, views):
--- a/packages/scheduler/portwharf/scheduler/suspects.py
+++ b/packages/scheduler/portwharf/scheduler/suspects.py
@@ -59,7 +59,7 @@
 RETENTION_SECONDS = 120.0
 
 
-class ReportOutcome(enum.Enum):
+class Verdict(enum.Enum):
     """How a waiting task is treated."""
 
     # It is placed like any other.
@@ -181,7 +181,7 @@
 
 
 def assess(state, task, times, is_trial, now):
-    """Return the :class:`ReportOutcome` on a task.
+    """Return the :class:`Verdict` on a task.
 
     Must be called only after every task that the latest crash ended has been
     counted.
@@ -193,22 +193,22 @@
     """
     count = len(task.crashes)
     if task.state != data.TaskState.WAITING or count < SUSPECT_CRASHES:
-        return ReportOutcome.PLACE
+        return Verdict.PLACE
     if count >= MAX_CRASHES or (
         count >= GIVE_UP_CRASHES and _is_prime_suspect(state, task)
     ):
-        return ReportOutcome.GIVE_UP
+        return Verdict.GIVE_UP
     since_last = now - times.find_time(task.crashes[-1].name)
     quiet_seconds = times.measure_quiet_seconds()
     if since_last < quiet_seconds:
-        return ReportOutcome.HOLD
+        return Verdict.HOLD
     if _is_conclusive(
         task, times, is_trial, quiet_seconds
     ) and _is_prime_suspect(state, task):
-        return ReportOutcome.GIVE_UP
+        return Verdict.GIVE_UP
     if times.is_quiet(now - quiet_seconds) or since_last >= MAX_HOLD_SECONDS:
-        return ReportOutcome.TRY
-    return ReportOutcome.HOLD
+        return Verdict.TRY
+    return Verdict.HOLD
 
 
 def _is_conclusive(task, times, is_trial, quiet_seconds):
--- a/packages/scheduler/portwharf/scheduler/suspects_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspects_test.py
@@ -14,10 +14,10 @@
 
 TASK = f'{jobs_test.FIRST}.0'
 OTHER = 'e' * 16
-HOLD = suspects.ReportOutcome.HOLD
-TRY = suspects.ReportOutcome.TRY
-GIVE_UP = suspects.ReportOutcome.GIVE_UP
-PLACE = suspects.ReportOutcome.PLACE
+HOLD = suspects.Verdict.HOLD
+TRY = suspects.Verdict.TRY
+GIVE_UP = suspects.Verdict.GIVE_UP
+PLACE = suspects.Verdict.PLACE
 
 
 class Scenario:
--- a/packages/side/portwharf/side/admission.py
+++ b/packages/side/portwharf/side/admission.py
@@ -33,7 +33,7 @@
     :param deadline: on the side's monotonic clock, in seconds
     :param may_run: called just before the request goes to the runner; a false
         result cancels it
-    :param finish: called once with a :class:`ReportOutcome`
+    :param finish: called once with a :class:`Verdict`
     """
 
     request: str = ''
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ReportOutcome:
+class Verdict:
     """The outcome of a request at this endpoint."""
 
     outcome: int = data.Outcome.NOT_RUN
@@ -181,7 +181,7 @@
         if reason == REASON_QUEUE:
             rounds = (self._limit + self._slots) / self._slots
             retry_after_ms = int(1000 * rounds * self._mean_run_seconds / 2)
-        return ReportOutcome(reason=reason, retry_after_ms=retry_after_ms)
+        return Verdict(reason=reason, retry_after_ms=retry_after_ms)
 
     def _work(self):
         while True:
@@ -203,22 +203,20 @@
         began = self._clock.read_monotonic()
         remaining = job.deadline - began
         if job.withdrawn:
-            return ReportOutcome(reason=REASON_WITHDRAWN)
+            return Verdict(reason=REASON_WITHDRAWN)
         if remaining <= 0:
-            return ReportOutcome(reason=REASON_DEADLINE)
+            return Verdict(reason=REASON_DEADLINE)
         if job.may_run is not None and not job.may_run():
-            return ReportOutcome(reason=REASON_CHANGED)
+            return Verdict(reason=REASON_CHANGED)
         answer = self._runner.run(
             job.request, job.service, job.payload, remaining
         )
         spent = self._clock.read_monotonic() - began
         self._record_run_time(job.service, spent)
         if not answer.ran:
-            return ReportOutcome(reason=answer.reason)
+            return Verdict(reason=answer.reason)
         if not answer.whole:
-            return ReportOutcome(data.Outcome.UNKNOWN, answer.reason)
+            return Verdict(data.Outcome.UNKNOWN, answer.reason)
         if answer.failed:
-            return ReportOutcome(
-                data.Outcome.FAILED, answer.reason, answer.payload
-            )
-        return ReportOutcome(data.Outcome.ANSWERED, '', answer.payload)
+            return Verdict(data.Outcome.FAILED, answer.reason, answer.payload)
+        return Verdict(data.Outcome.ANSWERED, '', answer.payload)
--- a/packages/side/portwharf/side/at_most_once.py
+++ b/packages/side/portwharf/side/at_most_once.py
@@ -49,7 +49,7 @@
     """An admitted request id; ``verdict`` is None while it runs."""
 
     made_ms: int = 0
-    verdict: admission.ReportOutcome = None
+    verdict: admission.Verdict = None
 
 
 class AtMostOncePolicy:
@@ -102,7 +102,7 @@
     def admit(self, request, service, sent_before):
         """Decide on a non-repeatable request.
 
-        :returns: None if it is to run here now, else its ``ReportOutcome``
+        :returns: None if it is to run here now, else its ``Verdict``
         """
         with self._lock:
             now_ms = self._clock.read_unix_ms()
@@ -117,7 +117,7 @@
                 return _refuse(reason, sent_before)
             self._drop_expired(now_ms)
             if len(self._known) >= MAX_IDS:
-                return admission.ReportOutcome(reason=REASON_FULL)
+                return admission.Verdict(reason=REASON_FULL)
             self._known[request] = _Known(made_ms)
             return None
 
@@ -214,8 +214,8 @@
     """
     if sent_before:
         return _make_unknown_verdict(reason)
-    return admission.ReportOutcome(reason=reason)
+    return admission.Verdict(reason=reason)
 
 
 def _make_unknown_verdict(reason):
-    return admission.ReportOutcome(data.Outcome.UNKNOWN, reason)
+    return admission.Verdict(data.Outcome.UNKNOWN, reason)
--- a/packages/side/portwharf/side/at_most_once_machine_test.py
+++ b/packages/side/portwharf/side/at_most_once_machine_test.py
@@ -212,9 +212,7 @@
                 self.runs[request] += 1
                 policy.record(request, at_most_once_test.ANSWERED)
             else:
-                policy.record(
-                    request, admission.ReportOutcome(reason='changed')
-                )
+                policy.record(request, admission.Verdict(reason='changed'))
         self.waiting = []
 
     @stateful.invariant()
--- a/packages/side/portwharf/side/at_most_once_test.py
+++ b/packages/side/portwharf/side/at_most_once_test.py
@@ -14,7 +14,7 @@
 from portwharf.side import at_most_once
 
 SERVICE = 'lens/order'
-ANSWERED = admission.ReportOutcome(data.Outcome.ANSWERED, '', b'done')
+ANSWERED = admission.Verdict(data.Outcome.ANSWERED, '', b'done')
 
 
 class FakeGuard:
@@ -84,7 +84,7 @@
     policy, now = make_policy('vm-0')
     request = make_id(now.read_unix_ms())
     admit(policy, request)
-    policy.record(request, admission.ReportOutcome(reason='queue-is-full'))
+    policy.record(request, admission.Verdict(reason='queue-is-full'))
     case.assertIsNone(admit(policy, request, True))
 
 
@@ -168,7 +168,7 @@
 
 def test_answers_are_dropped_before_ids(case):
     policy, now = make_policy('vm-0')
-    large = admission.ReportOutcome(data.Outcome.ANSWERED, '', bytes(4000))
+    large = admission.Verdict(data.Outcome.ANSWERED, '', bytes(4000))
     requests = [make_id(now.read_unix_ms(), n) for n in range(1000)]
     for request in requests:
         admit(policy, request)
--- a/packages/side/portwharf/side/server.py
+++ b/packages/side/portwharf/side/server.py
@@ -269,7 +269,7 @@
     def _check_request(self, message, job):
         """Return the verdict of a request to be rejected, or None."""
         if not self._serves(message.service):
-            verdict = admission.ReportOutcome(reason=admission.REASON_SERVICE)
+            verdict = admission.Verdict(reason=admission.REASON_SERVICE)
             if message.sent_before:
                 verdict.outcome = data.Outcome.UNKNOWN
             return verdict
