--- a/packages/scheduler/portwharf/scheduler/decider.py
+++ b/packages/scheduler/portwharf/scheduler/decider.py
@@ -254,7 +254,7 @@
         """
         targets = self._env.keeper.read().targets
         now = self._env.clock.read_monotonic()
-        self.service_protection.note_measures(
+        self.service_protection.record_measures(
             item.vm, item.measures, targets, now
         )
 
@@ -377,7 +377,7 @@
         weights = self._env.keeper.read().weights
         self.service_protection.remedies.set_weights(weights)
         self.service_protection.forget_ended()
-        self.service_protection.note_running(now)
+        self.service_protection.record_running(now)
         for action in self.service_protection.find_actions(now):
             self._apply_action(action, batch)
 
@@ -432,7 +432,7 @@
             self.service_protection.remedies.predict_effect,
         )
         self.waiting = {one.record.id: one for one in done.waiting}
-        self._patience.note(self.waiting, now)
+        self._patience.record_waits(self.waiting, now)
         self._wait_log.update(self.waiting, now)
         decisionlog.log_placements(done.placements)
         for placed in done.placements:
--- a/packages/scheduler/portwharf/scheduler/decisions/interference.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/interference.py
@@ -67,7 +67,7 @@
     def __init__(self):
         self._rows = collections.defaultdict(collections.deque)
 
-    def note(self, vm, kinds, now):
+    def record(self, vm, kinds, now):
         """Record what runs on a VM from now on.
 
         :param kinds: Counter of kinds of batch work, where throttled tasks
@@ -80,7 +80,7 @@
         while len(rows) > 1 and rows[1][0] < now - HISTORY_SECONDS:
             rows.popleft()
 
-    def find(self, vm, when):
+    def find_kinds(self, vm, when):
         """Return what ran on a VM at a time, or None if that is unknown."""
         found = None
         for began, kinds in self._rows[vm]:
@@ -100,7 +100,8 @@
         """Update a service's model with one measurement.
 
         :param load: used share of the service's slots, which may exceed 1
-        :param kinds: what ran on its VM, as :meth:`Timeline.find` returns it
+        :param kinds: what ran on its VM, as :meth:`Timeline.find_kinds`
+            returns it
         :param seconds: its measured mean response time
         """
         coefficients = self._coefficients[service]
--- a/packages/scheduler/portwharf/scheduler/decisions/interference_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/interference_test.py
@@ -76,18 +76,18 @@
 
 def test_timeline_finds_what_ran_at_a_time(case):
     timeline = interference.Timeline()
-    timeline.note('vm-1', {'a': 1}, 10.0)
-    timeline.note('vm-1', {'b': 1}, 20.0)
-    case.assertEqual(timeline.find('vm-1', 19.0), {'a': 1})
-    case.assertEqual(timeline.find('vm-1', 25.0), {'b': 1})
-    case.assertIsNone(timeline.find('vm-1', 5.0))
-    case.assertIsNone(timeline.find('vm-2', 15.0))
+    timeline.record('vm-1', {'a': 1}, 10.0)
+    timeline.record('vm-1', {'b': 1}, 20.0)
+    case.assertEqual(timeline.find_kinds('vm-1', 19.0), {'a': 1})
+    case.assertEqual(timeline.find_kinds('vm-1', 25.0), {'b': 1})
+    case.assertIsNone(timeline.find_kinds('vm-1', 5.0))
+    case.assertIsNone(timeline.find_kinds('vm-2', 15.0))
 
 
 def test_timeline_is_bounded(case):
     timeline = interference.Timeline()
     for second in range(10_000):
-        timeline.note('vm-1', {'a': second}, float(second))
+        timeline.record('vm-1', {'a': second}, float(second))
     max_rows = interference.HISTORY_SECONDS + 2
     case.assertLessEqual(len(timeline._rows['vm-1']), max_rows)
 
--- a/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
@@ -40,7 +40,7 @@
     def __init__(self):
         self._since = {}
 
-    def note(self, waiting, now):
+    def record_waits(self, waiting, now):
         """Record the ids of the workloads that wait after a pass."""
         self._since = {name: self._since.get(name, now) for name in waiting}
 
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies.py
@@ -120,7 +120,7 @@
     def __init__(self):
         self._peaks = {}
 
-    def note(self, name, load, now):
+    def record_load(self, name, load, now):
         """Record a load and return the peak.
 
         :param name: key of the service on its VM
@@ -180,7 +180,7 @@
                 return False, cost
         return True, cost
 
-    def note_measured(self, vm, service, seconds, target):
+    def record_measured(self, vm, service, seconds, target):
         """Compare a measurement with a service's target.
 
         :param seconds: the measured mean response time
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
@@ -42,7 +42,7 @@
 def record_measurements(policy, seconds, count=remedies.LATE_BEFORE_ACTION):
     """Record a measurement of the service, repeatedly."""
     for _ in range(count):
-        policy.note_measured(VM, SERVICE.service, seconds, SERVICE.target)
+        policy.record_measured(VM, SERVICE.service, seconds, SERVICE.target)
 
 
 def find_next_action(policy, neighbours, now=100.0):
@@ -143,10 +143,10 @@
 
 def test_peaks_decay(case):
     peaks = remedies.PeakLoadTracker()
-    peaks.note('x', 0.8, 0.0)
-    case.assertGreater(peaks.note('x', 0.1, 1.0), 0.79)
+    peaks.record_load('x', 0.8, 0.0)
+    case.assertGreater(peaks.record_load('x', 0.1, 1.0), 0.79)
     late = 1.0 + 2 * remedies.PEAK_HALF_LIFE_SECONDS
-    case.assertAlmostEqual(peaks.note('x', 0.1, late), 0.2, places=2)
+    case.assertAlmostEqual(peaks.record_load('x', 0.1, late), 0.2, places=2)
 
 
 def test_cheapest_sufficient_tasks_make_room(case):
--- a/packages/scheduler/portwharf/scheduler/decisions/service_protection.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/service_protection.py
@@ -74,7 +74,7 @@
         """
         return self._placed_at.get(attempt, self._began)
 
-    def note_measures(self, vm, measures, targets, now):
+    def record_measures(self, vm, measures, targets, now):
         """Record a side's measurements of its services.
 
         :param measures: list of ``messages.ServiceMeasure``
@@ -83,14 +83,16 @@
         for measure in measures:
             target = targets.get(measure.service)
             target_seconds = target.ms / _MS_PER_SECOND if target else 0.0
-            peak = self._peaks.note((vm, measure.service), measure.load, now)
+            peak = self._peaks.record_load(
+                (vm, measure.service), measure.load, now
+            )
             self._service_views[vm][measure.service] = remedies.ServiceView(
                 measure.service, measure.load, peak, target_seconds
             )
             self._measured_at[(vm, measure.service)] = now
             if measure.count < MIN_REQUESTS:
                 continue
-            kinds = self._timeline.find(
+            kinds = self._timeline.find_kinds(
                 vm, now - measure.age_ms / _MS_PER_SECOND
             )
             mean_seconds = measure.mean_us / 1e6
@@ -98,15 +100,15 @@
                 self.model.observe(
                     measure.service, measure.load, kinds, mean_seconds
                 )
-            self.remedies.note_measured(
+            self.remedies.record_measured(
                 vm, measure.service, mean_seconds, target_seconds
             )
 
-    def note_running(self, now):
+    def record_running(self, now):
         """Record what runs beside services, for measurements to come."""
         for vm in self._service_views:
             kinds = remedies.count_kinds(self.list_neighbours(vm, now))
-            self._timeline.note(vm, kinds, now)
+            self._timeline.record(vm, kinds, now)
 
     def fill_views(self, views, now):
         """Set the services and kinds of batch work of placement's views."""
@@ -166,7 +168,7 @@
                 vm, services, neighbours, now
             ) or self.remedies.find_release(vm, services, neighbours, now)
             if action is not None:
-                self._note_throttled(action)
+                self._record_throttled(action)
                 actions.append(action)
         return actions
 
@@ -279,7 +281,7 @@
             if now - self._measured_at[(vm, service)] < STALE_SECONDS
         ]
 
-    def _note_throttled(self, action):
+    def _record_throttled(self, action):
         """Record whether an action leaves its attempt throttled."""
         task = self._state.tasks[action.task]
         attempt = (task.id, task.attempt)
--- a/packages/scheduler/portwharf/scheduler/decisions/tail_interference.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/tail_interference.py
@@ -128,7 +128,7 @@
             _SHIFT_FACTOR * known.press + _DEVIATION_FACTOR * known.deviation
         )
 
-    def learn(self, observed):
+    def add_observation(self, observed):
         """Update the presses with a ``messages.PressObserved``."""
         differences = {
             change.image: change.share
--- a/packages/scheduler/portwharf/scheduler/decisions/tail_interference_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/tail_interference_test.py
@@ -27,8 +27,8 @@
 def test_heavy_and_light_images_are_distinguished(case):
     model = tail_interference.TailInterferenceModel()
     for _ in range(4):
-        model.learn(observe(1.0, heavy=0.1))
-        model.learn(observe(0.0, light=0.1))
+        model.add_observation(observe(1.0, heavy=0.1))
+        model.add_observation(observe(0.0, light=0.1))
     case.assertGreater(model.get_press('desk', 'heavy'), 7.0)
     case.assertLess(model.get_press('desk', 'light'), 1.0)
 
@@ -36,8 +36,8 @@
 def test_images_that_started_together_are_separated_later(case):
     model = tail_interference.TailInterferenceModel()
     for _ in range(3):
-        model.learn(observe(1.0, heavy=0.1, light=0.1))
-        model.learn(observe(0.0, light=-0.1))
+        model.add_observation(observe(1.0, heavy=0.1, light=0.1))
+        model.add_observation(observe(0.0, light=-0.1))
     heavy = model.get_press('desk', 'heavy')
     case.assertGreater(heavy, 3 * model.get_press('desk', 'light'))
 
@@ -48,7 +48,7 @@
         'desk', 'plan'
     )
     for _ in range(5):
-        model.learn(observe(0.5, plan=0.1))
+        model.add_observation(observe(0.5, plan=0.1))
     after = model.get_upper_bound('desk', 'plan') - model.get_press(
         'desk', 'plan'
     )
@@ -57,7 +57,7 @@
 
 def test_small_changes_are_ignored(case):
     model = tail_interference.TailInterferenceModel()
-    model.learn(observe(3.0, plan=0.001))
+    model.add_observation(observe(3.0, plan=0.001))
     case.assertEqual(model.list_all(), [])
 
 
@@ -66,7 +66,7 @@
         tail_interference.TailInterferenceModel(),
         tail_interference.TailInterferenceModel(),
     )
-    owner.learn(observe(1.0, plan=0.1))
+    owner.add_observation(observe(1.0, plan=0.1))
     side.replace_estimates(owner.list_all())
     case.assertEqual(
         side.get_press('desk', 'plan'), owner.get_press('desk', 'plan')
@@ -101,7 +101,7 @@
 def test_adopted_press_does_not_replace_an_observed_one(case):
     owner = tail_interference.TailInterferenceModel()
     for _ in range(5):
-        owner.learn(observe(0.1, plan=0.1))
+        owner.add_observation(observe(0.1, plan=0.1))
     before = owner.get_press('desk', 'plan')
     owner.add_unknown([messages.Press('desk', 'plan', 30.0, 0.1)])
     case.assertEqual(owner.get_press('desk', 'plan'), before)
@@ -110,5 +110,5 @@
 def test_new_owner_starts_from_adopted_presses(case):
     owner = tail_interference.TailInterferenceModel()
     owner.add_unknown([messages.Press('desk', 'plan', 12.0, 0.5)])
-    owner.learn(observe(1.2, plan=0.1))
+    owner.add_observation(observe(1.2, plan=0.1))
     case.assertAlmostEqual(owner.get_press('desk', 'plan'), 12.0, 1)
--- a/packages/scheduler/portwharf/scheduler/decisions/task_moves_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/task_moves_test.py
@@ -166,7 +166,9 @@
 def make_pressed_view(weight):
     """Return a view filled by a task whose job has a weight."""
     view = make_view(headrooms={'desk': 0.0})
-    view.note_filling(data.Workload(resources=SIZE, image='plan'), weight, 1.0)
+    view.record_filling(
+        data.Workload(resources=SIZE, image='plan'), weight, 1.0
+    )
     return view
 
 
--- a/packages/scheduler/portwharf/scheduler/decisions/vm_choice.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vm_choice.py
@@ -109,7 +109,7 @@
     if workload.kind == data.Kind.BATCH:
         view.kinds[backlog.get_interference_kind(workload)] += 1
     if demand.crash_count:
-        view.note_suspect(demand.unit, demand.crash_count)
+        view.record_suspect(demand.unit, demand.crash_count)
     view.add_task(workload, demand.weight)
     if view.probe:
         view.closed = REFUSED_QUARANTINED
--- a/packages/scheduler/portwharf/scheduler/decisions/vmview.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vmview.py
@@ -128,7 +128,7 @@
             headroom.serving: headroom.room for headroom in headrooms
         }
 
-    def note_suspect(self, unit, crashes):
+    def record_suspect(self, unit, crashes):
         """Record a crash suspect on the VM.
 
         :param unit: its job or workload
@@ -173,7 +173,7 @@
         """Return the share of the VM's processors that a task requests."""
         return workload.resources.cpu_milli / max(1, self.capacity.cpu_milli)
 
-    def note_filling(self, workload, weight, pace):
+    def record_filling(self, workload, weight, pace):
         """Add a filling task that runs at a pace, 0 to 1."""
         share = self._get_cpu_share(workload) * pace
         self.fillings.append(FillingTask(weight, workload.image, share))
@@ -186,6 +186,6 @@
             for serving in self.headrooms:
                 press = self.pairs.get_upper_bound(serving, workload.image)
                 self.headrooms[serving] -= press * share * pace
-            self.note_filling(workload, weight, pace)
+            self.record_filling(workload, weight, pace)
         self.reserved = self.reserved.add(workload.reserved)
         self.add_usage(workload)
--- a/packages/scheduler/portwharf/scheduler/interference_updates.py
+++ b/packages/scheduler/portwharf/scheduler/interference_updates.py
@@ -37,7 +37,7 @@
         """Add a side's observations, a list of ``messages.PressObserved``."""
         with self._lock:
             for one in observed:
-                self.presses.learn(one)
+                self.presses.add_observation(one)
             self._has_changes = True
 
     def make_update(self):
--- a/packages/scheduler/portwharf/scheduler/jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/jobs_test.py
@@ -230,7 +230,7 @@
         demands = pass_inputs.list_demands(made, lambda _: {'vm-1'}, NOW)
         patience.apply(demands, now)
         done = pass_inputs.plan(made, demands, [view], {}, NOW)
-        patience.note({one.record.id for one in done.waiting}, now)
+        patience.record_waits({one.record.id for one in done.waiting}, now)
         placed.append(len(done.placements))
     case.assertEqual(placed, [0, 0, 1])
 
@@ -244,7 +244,7 @@
         [messages.Headroom('desk', 0.0)],
     )
     patience = pass_inputs.Patience()
-    patience.note({FIRST}, 0.0)
+    patience.record_waits({FIRST}, 0.0)
     placed = []
     for now in (2.0, pass_inputs.REMAINING_PATIENCE_SECONDS + 1):
         demands = pass_inputs.list_demands(made, lambda _: frozenset(), NOW)
--- a/packages/scheduler/portwharf/scheduler/membership.py
+++ b/packages/scheduler/portwharf/scheduler/membership.py
@@ -182,7 +182,7 @@
             if record.workload.fills:
                 percent = pace_percents.get((task.id, task.attempt), 100)
                 weight = weigher.weigh(record)
-                view.note_filling(record.workload, weight, percent / 100)
+                view.record_filling(record.workload, weight, percent / 100)
 
     def _add_suspects(self, view):
         """Add the tasks that may crash the worker of a VM to its view."""
@@ -191,7 +191,7 @@
         for task in self._state.held[view.vm.name].values():
             if task.crashes:
                 unit = suspects.find_failure_unit(self._state, task)
-                view.note_suspect(unit, len(task.crashes))
+                view.record_suspect(unit, len(task.crashes))
 
     def pick_successor(self, now):
         """Return the name of a member that can take over, or ''."""
--- a/packages/scheduler/portwharf/scheduler/owner.py
+++ b/packages/scheduler/portwharf/scheduler/owner.py
@@ -206,7 +206,7 @@
         return self._interference.make_update()
 
     def adopt_presses(self, known):
-        """Adopt the pair effects that a former owner told a side."""
+        """Adopt the presses that a former owner told a side."""
         self._interference.adopt(known)
 
     def record_presses_observed(self, observed):
@@ -364,7 +364,7 @@
         return step
 
     def _announce_presses(self):
-        """Send changed pair effects to all members, at intervals."""
+        """Send changed presses to all members, at intervals."""
         update = self._interference.take_due_update(self.read_clock())
         if update is not None:
             self._members.announce(update)
--- a/packages/scheduler/portwharf/scheduler/suspects_test.py
+++ b/packages/scheduler/portwharf/scheduler/suspects_test.py
@@ -176,7 +176,7 @@
     demand = backlog.Demand(record)
     demand.is_selective = is_selective
     views = gangs_test.make_views(8, 4)
-    views[0].note_suspect('another', beside)
+    views[0].record_suspect('another', beside)
     choice = vm_choice.choose_vm(demand, views, None)
     return choice.view.vm.name if choice.view else ''
 
--- a/packages/side/portwharf/side/process.py
+++ b/packages/side/portwharf/side/process.py
@@ -91,7 +91,7 @@
             self._guard,
             cfg.limits,
             self._clock,
-            self._server.note_change,
+            self._server.record_change,
         )
         self._server.agent.read_roster_seq = self._read_roster_seq
         self._server.agent.is_zone_closed = self._is_zone_closed
@@ -99,7 +99,7 @@
             self._start_runner(cfg.runner)
         watcher = self._make_watcher(kv, listing)
         self._server.find_owner = lambda: watcher.owner
-        self._keeper.add_listener(self._server.note_change)
+        self._keeper.add_listener(self._server.record_change)
         self._keeper.add_listener(lambda: _send_config(watcher.owner))
         self._zones.add_listener(lambda: _send_closed_zones(watcher.owner))
         enter(zones.ZoneWatcher(kv, self._zones))
--- a/packages/side/portwharf/side/server.py
+++ b/packages/side/portwharf/side/server.py
@@ -84,14 +84,14 @@
         self._thread.join()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    def note_change(self):
+    def record_change(self):
         """Send this side's state to the entries soon."""
         self._changed.set()
 
     def drain(self):
         """Announce that this side accepts no new requests."""
         self.draining = True
-        self.note_change()
+        self.record_change()
 
     def handle(self, conn):
         """Serve a connection until it ends; for ``streams.Listener``."""
@@ -144,7 +144,7 @@
         extra = logs.fields(peer=hello.name, epoch=hello.epoch)
         LOG.info('following owner', extra=extra)
         self.agent.take_owner(conn)
-        self.note_change()
+        self.record_change()
 
     def take_owner_message(self, conn, hello, message):
         """Handle one message from the owner that sent the greeting."""
--- a/packages/testing/portwharf/testing/bench_decisions.py
+++ b/packages/testing/portwharf/testing/bench_decisions.py
@@ -166,7 +166,7 @@
             )
             self.requests_in_target += load * share_in_target(mean_seconds)
             self.requests += load
-            self.timeline.note(vm, kinds, now)
+            self.timeline.record(vm, kinds, now)
             if now % _MEASURE_INTERVAL_SECONDS == 0:
                 log_noise = self.world.random.gauss(0, 0.1)
                 delay = LAG_SECONDS + self.world.random.randint(0, 4)
@@ -188,10 +188,10 @@
                 remaining.append(row)
                 continue
             service = self.world.replicas[vm]
-            kinds = self.timeline.find(vm, measured_at)
+            kinds = self.timeline.find_kinds(vm, measured_at)
             if kinds is not None and self.policy.learn:
                 self.model.observe(service, load, kinds, seconds)
-            self.remedies.note_measured(vm, service, seconds, TARGET_SECONDS)
+            self.remedies.record_measured(vm, service, seconds, TARGET_SECONDS)
         self.undelivered = remaining
 
     def _list_views(self, now):
@@ -220,7 +220,7 @@
         # Except for the oracle, the load is known from late measurements only.
         lag = 0 if self.policy.oracle else LAG_SECONDS
         load = self.world.get_load(service, max(0, now - lag))
-        peak = self.peaks.note(vm, load, now)
+        peak = self.peaks.record_load(vm, load, now)
         return [remedies.ServiceView(service, load, peak, TARGET_SECONDS)]
 
     def _place_waiting(self, now):
--- a/packages/testing/portwharf/testing/crash_day.py
+++ b/packages/testing/portwharf/testing/crash_day.py
@@ -320,13 +320,13 @@
     def _detect_crash_loops(self):
         if self._with_detection:
             self._crash_loops.resolve_suspects(
-                batches.Batch(), self._apply_event, self._note_given_up
+                batches.Batch(), self._apply_event, self._record_given_up
             )
 
     def _apply_event(self, batch, event):
         self._state.apply(event)
 
-    def _note_given_up(self, event, batch):
+    def _record_given_up(self, event, batch):
         job = self._state.find_workload(event.task).workload.job
         self._given_up.setdefault(job, self._now)
         if not self._state.jobs[job].cancelled:
@@ -377,7 +377,7 @@
             view.add_usage(record.workload)
             if task.crashes:
                 unit = suspects.find_failure_unit(self._state, task)
-                view.note_suspect(unit, len(task.crashes))
+                view.record_suspect(unit, len(task.crashes))
         return view
 
     def _start(self, name, run):
--- a/packages/testing/portwharf/testing/overload_day.py
+++ b/packages/testing/portwharf/testing/overload_day.py
@@ -271,7 +271,7 @@
             self._state, demands, views, {}, self._now_ms
         )
         waiting = {demand.record.id: demand for demand in planned.waiting}
-        self._patience.note(waiting, self.now)
+        self._patience.record_waits(waiting, self.now)
         for placement in planned.placements:
             self._place(placement)
         self._views = views
@@ -318,7 +318,7 @@
                     continue
                 percent = percent_by_task.get(task.id, 100)
                 weight = weigher.weigh(record)
-                view.note_filling(record.workload, weight, percent / 100)
+                view.record_filling(record.workload, weight, percent / 100)
                 press = self._presses[record.workload.image]
                 headroom -= (
                     press * 7000 / VM_CAPACITY.cpu_milli * percent / 100
--- a/packages/testing/portwharf/testing/platform_runner.py
+++ b/packages/testing/portwharf/testing/platform_runner.py
@@ -83,7 +83,7 @@
         """End a running task."""
         with self._lock:
             run = self.running.pop(task)
-            self._note_end(task, run, how, saved)
+            self._record_end(task, run, how, saved)
 
     def read_ms(self):
         """Return the runner's monotonic clock, in milliseconds."""
@@ -164,7 +164,7 @@
         self._over[task] = max(run, self._over.get(task, 0))
         if self.running.get(task) == run:
             del self.running[task]
-            self._note_end(task, run, 'stopped', 'kept')
+            self._record_end(task, run, 'stopped', 'kept')
         return 200, {}
 
     def _hold(self, body):
@@ -179,7 +179,7 @@
     def _pace(self, body):
         return 200, {}
 
-    def _note_end(self, task, run, how, saved):
+    def _record_end(self, task, run, how, saved):
         self._numbers += 1
         self._over[task] = max(run, self._over.get(task, 0))
         self.ended.append([self._numbers, task, run, how, saved])
--- a/packages/testing/portwharf/testing/soak_runner.py
+++ b/packages/testing/portwharf/testing/soak_runner.py
@@ -270,7 +270,7 @@
         span.ended = time.monotonic()
         span.how = how
 
-    def _note_end(self, task, run, how, saved):
+    def _record_end(self, task, run, how, saved):
         span = self._find_running(task, run)
         if span is not None:
             work = read_work(span.spec, task)
@@ -279,7 +279,7 @@
                 f'{task}|{self._get_done_ms(span)}' if has_checkpoint else ''
             )
             self._end_span(span, how)
-        super()._note_end(task, run, how, saved)
+        super()._record_end(task, run, how, saved)
         if span is not None:
             self.numbered_ends[self._numbers] = span
 
@@ -325,7 +325,7 @@
     def _end_run(self, task, how):
         run = self.running.pop(task, None)
         if run is not None:
-            self._note_end(task, run, how, '')
+            self._record_end(task, run, how, '')
 
     def _send_heartbeats(self):
         last = None
