--- a/packages/platform/portwharf/platform/runner_restart_test.py
+++ b/packages/platform/portwharf/platform/runner_restart_test.py
@@ -97,7 +97,7 @@
         self.standin.begin_life('i-1')
 
 
-def test_end_is_kept_if_a_former_life_had_its_number_acknowledged(case):
+def test_end_is_kept_if_a_former_incarnation_had_its_number_acknowledged(case):
     side = Runner(case)
     side.run_and_acknowledge(FIRST)
     side.restart()
@@ -110,7 +110,7 @@
     case.assertEqual(len(side.standin.ended), 1)
 
 
-def test_no_end_number_of_a_former_life_reaches_the_next(case):
+def test_no_end_number_of_a_former_incarnation_reaches_the_next(case):
     """Not even in the first request, before any heartbeat."""
     side = Runner(case)
     side.run_and_acknowledge(FIRST)
@@ -148,7 +148,7 @@
     case.assertEqual(listing.capacity, data.Resources(500, 100))
 
 
-def test_late_heartbeat_of_a_former_life_with_the_same_id_is_dropped(case):
+def test_late_heartbeat_of_a_former_incarnation_with_same_id_is_dropped(case):
     side = Runner(case)
     late = side.standin.make_beat(state='draining', seq=99)
     side.restart()
@@ -160,7 +160,7 @@
     case.assertEqual(side.start(SECOND), '')
 
 
-def test_lives_under_one_id_are_told_apart(case):
+def test_incarnations_under_one_id_are_told_apart(case):
     side = Runner(case)
     former = side.read_listing().life
     side.restart()
@@ -208,7 +208,7 @@
     case.assertEqual(side.standin.running, {})
 
 
-def test_lease_of_a_former_life_is_not_shown_in_the_next(case):
+def test_lease_of_a_former_incarnation_is_not_shown_in_the_next(case):
     side = Runner(case)
     side.client.renew(side.standin.read_ms() + 10**6)
     side.restart()
@@ -245,7 +245,7 @@
     case.assertEqual(side.list_states(), {SECOND: 'succeeded'})
 
 
-def test_no_order_is_based_on_the_listing_of_a_former_life(case):
+def test_no_order_is_based_on_the_listing_of_a_former_incarnation(case):
     """The next incarnation is known, and its first listing was lost."""
     side = Runner(case)
     side.restart()
--- a/packages/platform/portwharf/platform/runner_test.py
+++ b/packages/platform/portwharf/platform/runner_test.py
@@ -121,7 +121,7 @@
     case.assertEqual(standin.orders[-1][1]['ackedUpto'], 2)
 
 
-def test_new_life_is_never_told_of_the_old_ones_numbers(case):
+def test_new_incarnation_is_never_told_of_the_old_ones_numbers(case):
     client, standin = open_runner(case)
     start(client)
     standin.end_run(TASK)
@@ -201,7 +201,7 @@
     case.assertEqual(attempt.resources, SIZE)
 
 
-def test_late_heartbeat_of_an_earlier_life_changes_nothing(case):
+def test_late_heartbeat_of_an_earlier_incarnation_changes_nothing(case):
     client, standin = open_runner(case)
     standin.begin_life('i-2')
     client.record_heartbeat(make_life('i-2'))
@@ -228,14 +228,14 @@
     case.assertEqual(client.read_listing().ok_value.life.instance, 'i-1')
 
 
-def test_late_heartbeat_of_the_same_life_does_not_undo_draining(case):
+def test_late_heartbeat_of_the_same_incarnation_does_not_undo_draining(case):
     client, _ = open_runner(case)
     client.record_heartbeat(make_life(draining=True, seq=5))
     client.record_heartbeat(make_life(seq=4))
     case.assertTrue(client.read_listing().ok_value.draining)
 
 
-def test_new_life_without_a_response_is_asked_again(case):
+def test_new_incarnation_without_a_response_is_asked_again(case):
     client, standin = open_runner(case)
     start(client)
     standin.begin_life('i-2')
@@ -247,7 +247,7 @@
     case.assertEqual(listing.attempts, [])
 
 
-def test_heartbeat_of_a_new_life_is_notified_at_once(case):
+def test_heartbeat_of_a_new_incarnation_is_notified_at_once(case):
     client, _ = open_runner(case)
     notified = threading.Event()
     client.on_attempt_end(notified.set)
@@ -255,7 +255,7 @@
     case.assertTrue(notified.is_set())
 
 
-def test_ends_of_an_unidentified_life_are_not_acknowledged(case):
+def test_ends_of_an_unidentified_incarnation_are_not_acknowledged(case):
     standin, place = platform_runner.serve_runner(case)
     former = runner.RunnerWorker(place, lambda: 7, 6000)
     former.record_heartbeat(make_life())
@@ -273,14 +273,14 @@
     case.assertEqual(list_states(client), ['succeeded'])
 
 
-def test_nothing_starts_on_a_draining_life(case):
+def test_nothing_starts_on_a_draining_incarnation(case):
     client, standin = open_runner(case)
     client.record_heartbeat(make_life(draining=True))
     case.assertEqual(start(client).ok_value, workers.REFUSED_LEAVING)
     case.assertEqual(standin.running, {})
 
 
-def test_nothing_starts_before_the_life_is_identified(case):
+def test_nothing_starts_before_the_incarnation_is_identified(case):
     standin, place = platform_runner.serve_runner(case)
     client = runner.RunnerWorker(place, lambda: 7, 6000)
     client.record_heartbeat(make_life('i-0'))
@@ -302,7 +302,7 @@
     case.assertEqual((attempt.workload, attempt.resources), ('a/b', SIZE))
 
 
-def test_late_heartbeat_of_a_former_life_keeps_resources(case):
+def test_late_heartbeat_of_a_former_incarnation_keeps_resources(case):
     """A heartbeat may be delayed until after those of the next incarnation.
 
     It must not change the resources that running attempts hold, as the owner
--- a/packages/platform/portwharf/platform/runner_walk_test.py
+++ b/packages/platform/portwharf/platform/runner_walk_test.py
@@ -245,12 +245,12 @@
     case.assertIsNone(walk_all())
 
 
-def test_walks_find_lives_distinguished_by_their_ids_only(case):
+def test_walks_find_incarnations_distinguished_by_their_ids_only(case):
     seed, reason = walk_all(reported_born_ms=1)
     case.assertEqual(seed, 0, reason)
 
 
-def test_walks_find_starts_based_on_the_listing_of_another_life(case):
+def test_walks_find_starts_based_on_the_listing_of_another_incarnation(case):
     def check(self, life):
         return (
             self._incarnations.check_start()
--- a/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/faults_jobs_test.py
@@ -137,7 +137,7 @@
     )
 
 
-def test_forgotten_previous_life_is_caught(case):
+def test_forgotten_previous_incarnation_is_caught(case):
     check_fault_detected(
         case,
         loss_reporter_test.test_attempt_of_an_earlier_incarnation_is_gone,
@@ -228,9 +228,9 @@
     )
 
 
-def test_acknowledged_number_of_a_previous_life_is_caught(case):
+def test_acknowledged_number_of_a_previous_incarnation_is_caught(case):
     for test in (
-        runner_test.test_new_life_is_never_told_of_the_old_ones_numbers,
+        runner_test.test_new_incarnation_is_never_told_of_the_old_ones_numbers,
         runner_restart_test.test_end_under_a_reused_id_is_reported_at_once,
     ):
         kept = ended_attempts.EndedAttempts()
@@ -239,7 +239,7 @@
         )
 
 
-def test_lives_compared_by_id_alone_are_caught(case):
+def test_incarnations_compared_by_id_alone_are_caught(case):
     def is_same(one, other):
         return other is not None and one.instance == other.instance
 
@@ -255,14 +255,14 @@
 def test_ignored_birth_number_is_caught(case):
     check_fault_detected(
         case,
-        runner_restart_test.test_lives_under_one_id_are_told_apart,
+        runner_restart_test.test_incarnations_under_one_id_are_told_apart,
         heartbeats,
         'read_birth_time',
         lambda value: 0,
     )
 
 
-def test_order_sent_to_any_life_is_caught(case):
+def test_order_sent_to_any_incarnation_is_caught(case):
     def order(
         self, way, life, path, body, seconds=runner_connection.CALL_SECONDS
     ):
@@ -278,7 +278,7 @@
     )
 
 
-def test_fencing_token_shared_by_lives_is_caught(case):
+def test_fencing_token_shared_by_incarnations_is_caught(case):
     check_fault_detected(
         case,
         runner_restart_test.test_late_order_is_refused_by_the_next_incarnation,
@@ -309,7 +309,7 @@
 
     check_fault_detected(
         case,
-        runner_test.test_new_life_is_never_told_of_the_old_ones_numbers,
+        runner_test.test_new_incarnation_is_never_told_of_the_old_ones_numbers,
         runner.RunnerWorker,
         'read_listing',
         read,
--- a/packages/scheduler/portwharf/scheduler/policy_test.py
+++ b/packages/scheduler/portwharf/scheduler/policy_test.py
@@ -102,7 +102,7 @@
     case.assertEqual(advisor.find_ticket(STEP, SECOND), 't-i-1')
 
 
-def test_new_life_of_a_worker_needs_a_new_ticket(case):
+def test_new_incarnation_of_a_worker_needs_a_new_ticket(case):
     advisor, _, _ = open_advisor(SECOND)
     advisor.request(STEP, [SECOND], VALID_MS)
     advisor.ask_next()
--- a/packages/scheduler/portwharf/scheduler/step_placement_test.py
+++ b/packages/scheduler/portwharf/scheduler/step_placement_test.py
@@ -121,7 +121,7 @@
     )
 
 
-def test_token_of_a_previous_life_is_caught(case):
+def test_token_of_a_previous_incarnation_is_caught(case):
     original = registry.Registration.renew
 
     def renew(self):
