--- a/packages/platform/portwharf/platform/runner_restart_test.py
+++ b/packages/platform/portwharf/platform/runner_restart_test.py
@@ -55,7 +55,7 @@
 
     def deliver_heartbeat(self, **fields):
         """Deliver the runner's next heartbeat to the client."""
-        self.deliver_late_heartbeat(self.standin.make_beat(**fields))
+        self.deliver_late_heartbeat(self.standin.make_heartbeat(**fields))
 
     def deliver_late_heartbeat(self, body, instance='i-1'):
         """Deliver a heartbeat that was created earlier."""
@@ -94,7 +94,7 @@
 
     def restart(self):
         """Crash, and restart under the same instance id."""
-        self.standin.begin_life('i-1')
+        self.standin.restart('i-1')
 
 
 def test_end_is_kept_if_a_former_incarnation_had_its_number_acknowledged(case):
@@ -150,7 +150,7 @@
 
 def test_late_heartbeat_of_a_former_incarnation_with_same_id_is_dropped(case):
     side = Runner(case)
-    late = side.standin.make_beat(state='draining', seq=99)
+    late = side.standin.make_heartbeat(state='draining', seq=99)
     side.restart()
     side.deliver_heartbeat()
     side.read_listing()
--- a/packages/platform/portwharf/platform/runner_test.py
+++ b/packages/platform/portwharf/platform/runner_test.py
@@ -127,7 +127,7 @@
     standin.end_run(TASK)
     client.read_listing()
     client.forget(TASK, 1)
-    standin.begin_life('i-2')
+    standin.restart('i-2')
     case.assertTrue(client.read_listing().is_err())
     client.record_heartbeat(make_life('i-2'))
     client.read_listing()
@@ -203,7 +203,7 @@
 
 def test_late_heartbeat_of_an_earlier_incarnation_changes_nothing(case):
     client, standin = open_runner(case)
-    standin.begin_life('i-2')
+    standin.restart('i-2')
     client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client)
@@ -238,7 +238,7 @@
 def test_new_incarnation_without_a_response_is_asked_again(case):
     client, standin = open_runner(case)
     start(client)
-    standin.begin_life('i-2')
+    standin.restart('i-2')
     standin.unhealthy = 1
     client.record_heartbeat(make_life('i-2'))
     case.assertTrue(client.read_listing().is_err())
@@ -264,7 +264,7 @@
     standin.end_run(TASK)
     client = runner.RunnerWorker(place, lambda: 8, 6000)
     client.read_listing()
-    standin.begin_life('i-2')
+    standin.restart('i-2')
     client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client, 2)
--- a/packages/platform/portwharf/platform/runner_walk_test.py
+++ b/packages/platform/portwharf/platform/runner_walk_test.py
@@ -44,9 +44,9 @@
         self.reported_born_ms = None
         super().__init__()
 
-    def begin_life(self, instance):
+    def restart(self, instance):
         self.now_ms = 0
-        super().begin_life(instance)
+        super().restart(instance)
 
     def read_ms(self):
         return self.now_ms
@@ -134,7 +134,7 @@
     def deliver_heartbeat(self):
         """Deliver a heartbeat."""
         standin = self.standin
-        body = standin.make_beat(
+        body = standin.make_heartbeat(
             born=standin.reported_born_ms or standin.born_ms
         )
         self.heartbeats.append(body)
@@ -198,7 +198,7 @@
 
     def restart(self):
         """Restart the runner under its instance id."""
-        self.standin.begin_life('i-1')
+        self.standin.restart('i-1')
 
     def lose_replies(self):
         """Lose the next responses."""
--- a/packages/scheduler/portwharf/scheduler/decisions/gangs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/gangs.py
@@ -15,7 +15,7 @@
 from portwharf.scheduler import events
 
 
-def choose_vms(demand, views, judge):
+def choose_vms(demand, views, predict_effect):
     """Choose a VM for each task of a gang.
 
     :returns: list of ``vm_choice.Choice``, whose views are copies; the last
@@ -24,7 +24,7 @@
     copies = [view.copy() for view in views]
     chosen = []
     for _ in demand.tasks:
-        choice = vm_choice.choose_vm(demand, copies, judge)
+        choice = vm_choice.choose_vm(demand, copies, predict_effect)
         chosen.append(choice)
         if choice.view is None:
             break
--- a/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/pass_inputs.py
@@ -57,19 +57,21 @@
                 demand.accept_any_vm()
 
 
-def plan(state, demands, views, quotas, now_ms, judge=None):
+def plan(state, demands, views, quotas, now_ms, predict_effect=None):
     """Place waiting tasks within the teams' quotas.
 
     :param demands: as :func:`list_demands` returns them
     :param views: list of ``vmview.VmView``; placed tasks are added to them
     :param quotas: map of team to Resources
-    :param judge: as for ``placement.place_demands``
+    :param predict_effect: as for ``placement.place_demands``
     :returns: a ``placement.PlacementResult``
     """
     if not demands:
         return placement.PlacementResult()
     team_quotas = backlog.Quotas(quotas, sum_by_team(state))
-    return placement.place_demands(demands, views, team_quotas, now_ms, judge)
+    return placement.place_demands(
+        demands, views, team_quotas, now_ms, predict_effect
+    )
 
 
 def list_demands(state, list_avoided, now_ms, runtimes=None):
--- a/packages/scheduler/portwharf/scheduler/decisions/placement.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement.py
@@ -72,20 +72,20 @@
     hopeless: dict = dataclasses.field(default_factory=dict)
 
 
-def place_demands(demands, views, quotas, now_ms, judge=None):
+def place_demands(demands, views, quotas, now_ms, predict_effect=None):
     """Choose a VM for as many waiting tasks as can be placed.
 
     :param demands: list of ``backlog.Demand``
     :param views: list of ``vmview.VmView``; placed tasks are added to them
     :param quotas: a ``backlog.Quotas``
     :param now_ms: wall time, for the decisions
-    :param judge: function that returns whether services keep their targets
-        beside one more task, and at what cost (``Remedies.predict_effect``),
-        or None
+    :param predict_effect: function that returns whether services keep their
+        targets beside one more task, and at what cost
+        (``Remedies.predict_effect``), or None
     :returns: a :class:`PlacementResult`
     """
     result = PlacementResult()
-    result.judge = judge
+    result.judge = predict_effect
     borrowers = []
     result.ordered = backlog.order_demands(demands, now_ms)
     for demand in result.ordered:
--- a/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/placement_test.py
@@ -139,7 +139,7 @@
     near.services = ['a service']
     near.capacity = data.Resources(9000, 9000)
 
-    def judge(services, kinds, kind):
+    def predict_effect(services, kinds, kind):
         return kinds[kind] < 1, 0.1
 
     result = placement.place_demands(
@@ -147,7 +147,7 @@
         [quiet, near],
         backlog.Quotas({}, {}),
         NOW_MS,
-        judge,
+        predict_effect,
     )
     vms = [one.vm for one in result.placements]
     case.assertEqual(vms.count('vm-01'), 1)
--- a/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
@@ -117,11 +117,11 @@
 
 
 def test_evictions_are_rate_limited(case):
-    brake = remedies.EvictionBudget()
-    taken = sum(brake.take(100.0) for _ in range(50))
+    budget = remedies.EvictionBudget()
+    taken = sum(budget.take(100.0) for _ in range(50))
     case.assertEqual(taken, remedies.EVICTION_BURST)
     later = 100.0 + 2 * remedies.EVICTION_REFILL_SECONDS
-    case.assertEqual(sum(brake.take(later) for _ in range(50)), 2)
+    case.assertEqual(sum(budget.take(later) for _ in range(50)), 2)
 
 
 def test_throttled_task_is_released_when_targets_allow(case):
--- a/packages/scheduler/portwharf/scheduler/decisions/vm_choice.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/vm_choice.py
@@ -57,10 +57,10 @@
         ]
 
 
-def choose_vm(demand, views, judge):
+def choose_vm(demand, views, predict_effect):
     """Return the :class:`Choice` for a demand's next task.
 
-    :param judge: as for ``placement.place_demands``
+    :param predict_effect: as for ``placement.place_demands``
     """
     choice = Choice(weight=demand.weight)
     is_batch = demand.record.workload.kind == data.Kind.BATCH
@@ -87,8 +87,10 @@
             continue
         parts = scoring.score_vm(demand, view, spread)
         parts += scoring.score_crash_risk(demand, crash_count, view)
-        if is_batch and judge is not None and view.services:
-            targets_hold, cost = judge(view.services, view.kinds, kind)
+        if is_batch and predict_effect is not None and view.services:
+            targets_hold, cost = predict_effect(
+                view.services, view.kinds, kind
+            )
             if not targets_hold:
                 choice.refusals[REFUSED_SLOWS_SERVICE] += 1
                 continue
--- a/packages/testing/portwharf/testing/bench.py
+++ b/packages/testing/portwharf/testing/bench.py
@@ -237,7 +237,7 @@
     model = interference.Model()
     for _ in range(100):
         model.observe('lens/fit', 0.5, {'lens/surface-plan': 1}, 0.05)
-    judge = remedies.Remedies(model).predict_effect
+    predict_effect = remedies.Remedies(model).predict_effect
     min_seconds = float('inf')
     for _ in range(REPETITIONS):
         views = make_views(vms, cpu_milli)
@@ -246,7 +246,7 @@
             shard_state, lambda workload: set(), 0
         )
         planned = pass_inputs.plan(
-            shard_state, demands, views, {}, 10**12, judge
+            shard_state, demands, views, {}, 10**12, predict_effect
         )
         min_seconds = min(min_seconds, time.process_time() - began)
     return min_seconds, len(planned.placements)
--- a/packages/testing/portwharf/testing/bench_decisions.py
+++ b/packages/testing/portwharf/testing/bench_decisions.py
@@ -235,9 +235,11 @@
     def _place_ours(self, views, now):
         tasks = {task.name: task for task in self.waiting}
         demands = [self._make_demand(task) for task in self.waiting]
-        judge = self.remedies.predict_effect if self.policy.judge else None
+        predict_effect = (
+            self.remedies.predict_effect if self.policy.judge else None
+        )
         planned = placement.place_demands(
-            demands, views, backlog.Quotas({}, {}), now * 1000, judge
+            demands, views, backlog.Quotas({}, {}), now * 1000, predict_effect
         )
         for placed in planned.placements:
             self._start_task(tasks[placed.task], placed.vm, now)
--- a/packages/testing/portwharf/testing/platform_runner.py
+++ b/packages/testing/portwharf/testing/platform_runner.py
@@ -54,13 +54,13 @@
         self._lock = threading.Condition()
         self._start_times_ms = itertools.count(FIRST_BORN_MS)
         self.break_connections = lambda: None
-        self.begin_life(instance)
+        self.restart(instance)
         self.lose_answers = 0
         self.unhealthy = 0
         self.orders = []
         self.ticket = ''
 
-    def begin_life(self, instance):
+    def restart(self, instance):
         """Restart without any runs, as after a crash.
 
         :param instance: new instance id, which may be the old one
@@ -89,7 +89,7 @@
         """Return the runner's monotonic clock, in milliseconds."""
         return int(time.monotonic() * 1000)
 
-    def make_beat(self, **fields):
+    def make_heartbeat(self, **fields):
         """Return the next heartbeat; fields override its values."""
         self.seq += 1
         return {
--- a/packages/testing/portwharf/testing/relay.py
+++ b/packages/testing/portwharf/testing/relay.py
@@ -38,7 +38,7 @@
         self._from_target = threading.Event()
         self.silence(False)
         # Event shared by the connections accepted since the last freeze.
-        self._hush_requested = threading.Event()
+        self._freeze_requested = threading.Event()
         self._stopped = threading.Event()
         self.refusing = False
         self.delay = 0.0
@@ -69,8 +69,8 @@
 
     def freeze_connections(self):
         """Stop forwarding on open connections for good, without closing."""
-        self._hush_requested.set()
-        self._hush_requested = threading.Event()
+        self._freeze_requested.set()
+        self._freeze_requested = threading.Event()
 
     def silence(self, silent):
         """Hold back all data, or release it, in both directions."""
@@ -113,7 +113,7 @@
     def _forward_both_ways(self, client_sock, target_sock):
         with self._lock:
             self._open_sockets |= {client_sock, target_sock}
-        hush_requested = self._hush_requested
+        freeze_requested = self._freeze_requested
         directions = (
             (client_sock, target_sock, self._to_target),
             (target_sock, client_sock, self._from_target),
@@ -122,24 +122,24 @@
             source.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             threading.Thread(
                 target=self._forward,
-                args=(source, sink, flow_enabled, hush_requested),
+                args=(source, sink, flow_enabled, freeze_requested),
                 daemon=True,
             ).start()
 
-    def _forward(self, source, sink, flow_enabled, hush_requested):
+    def _forward(self, source, sink, flow_enabled, freeze_requested):
         try:
             while chunk := source.recv(_READ_BYTES):
                 flow_enabled.wait()
                 if self.delay:
                     time.sleep(self.delay)
-                if hush_requested.is_set():
+                if freeze_requested.is_set():
                     # Reading stops here, so that the sender's buffers fill up.
                     self._stopped.wait()
                     break
                 sink.sendall(chunk)
         except OSError:
             pass
-        if hush_requested.is_set():
+        if freeze_requested.is_set():
             # The wait keeps the peer's connection open although this one
             # closed.
             self._stopped.wait()
--- a/packages/testing/portwharf/testing/soak_runner.py
+++ b/packages/testing/portwharf/testing/soak_runner.py
@@ -139,7 +139,7 @@
             self._life_count += 1
             self._delayed_starts = []
             self.numbered_ends = {}
-        self.begin_life(f'{self._name}-{self._life_count // 2}')
+        self.restart(f'{self._name}-{self._life_count // 2}')
 
     def read_ms(self):
         """Return the time by the runner's own clock, in ms."""
@@ -344,7 +344,7 @@
     def _make_heartbeat(self):
         capacity_map = {'cpu': self.cpu_milli, 'memMb': MEMORY_MB, 'gpu': 0}
         with self._lock:
-            return self.make_beat(
+            return self.make_heartbeat(
                 service='soak-pool',
                 address=self._address,
                 zone='zone-1',
