--- a/packages/platform/portwharf/platform/lost_ended_attempts_test.py
+++ b/packages/platform/portwharf/platform/lost_ended_attempts_test.py
@@ -53,7 +53,7 @@
     """Run an attempt; returns the final states reported to the owner."""
     bench.grant()
     bench.start(task, attempt)
-    side.standin.end_run(task)
+    side.fake.end_run(task)
     bench.conn.take(messages.Reports)
     bench.step(1)
     return [
@@ -98,7 +98,7 @@
         bench.agent.step()
     bench.agent.command(bench.conn, make_start(OTHER))
     bench.agent.step()
-    case.assertEqual(side.standin.running, {})
+    case.assertEqual(side.fake.running, {})
     case.assertIn(workers.REFUSED_NO_HEARTBEAT, bench.list_refused())
 
 
--- a/packages/platform/portwharf/platform/runner_restart_test.py
+++ b/packages/platform/portwharf/platform/runner_restart_test.py
@@ -46,7 +46,7 @@
     """A runner whose connections break when it crashes, and its client."""
 
     def __init__(self, case):
-        self.standin, place = platform_runner.serve_runner(case)
+        self.fake, place = platform_runner.serve_runner(case)
         self.client = runner.RunnerWorker(place, lambda: 7, MAX_HOLD_MS)
         self.deliver_heartbeat()
         # The incarnation that sent the latest listing.
@@ -55,7 +55,7 @@
 
     def deliver_heartbeat(self, **fields):
         """Deliver the runner's next heartbeat to the client."""
-        self.deliver_late_heartbeat(self.standin.make_heartbeat(**fields))
+        self.deliver_late_heartbeat(self.fake.make_heartbeat(**fields))
 
     def deliver_late_heartbeat(self, body, instance='i-1'):
         """Deliver a heartbeat that was created earlier."""
@@ -76,7 +76,7 @@
 
     def start(self, task, attempt=1):
         """Start an attempt; returns '' or the reason of a refusal."""
-        until = self.standin.read_ms() + 4000
+        until = self.fake.read_ms() + 4000
         message = workers.Start(
             task, attempt, argument=b'spec', resources=SIZE
         )
@@ -87,14 +87,14 @@
     def run_and_acknowledge(self, task):
         """Start an attempt, end it, mark it as logged, and acknowledge it."""
         self.start(task)
-        self.standin.end_run(task)
+        self.fake.end_run(task)
         self.read_listing()
         self.client.forget(task, 1)
         self.read_listing()
 
     def restart(self):
         """Crash, and restart under the same instance id."""
-        self.standin.restart('i-1')
+        self.fake.restart('i-1')
 
 
 def test_end_is_kept_if_a_former_incarnation_had_its_number_acknowledged(case):
@@ -104,10 +104,10 @@
     side.deliver_heartbeat()
     side.read_listing()
     side.start(SECOND)
-    side.standin.end_run(SECOND)
+    side.fake.end_run(SECOND)
     case.assertEqual(side.list_states(), {SECOND: 'succeeded'})
     side.read_listing()
-    case.assertEqual(len(side.standin.ended), 1)
+    case.assertEqual(len(side.fake.ended), 1)
 
 
 def test_no_end_number_of_a_former_incarnation_reaches_the_next(case):
@@ -115,9 +115,9 @@
     side = Runner(case)
     side.run_and_acknowledge(FIRST)
     side.restart()
-    side.standin.orders.clear()
+    side.fake.orders.clear()
     side.read_listing()
-    numbers = {order['ackedUpto'] for _, order in side.standin.orders}
+    numbers = {order['ackedUpto'] for _, order in side.fake.orders}
     case.assertEqual(numbers, {0})
 
 
@@ -132,7 +132,7 @@
     case.enterContext(side.client)
     side.start(SECOND)
     notified.clear()
-    side.standin.end_run(SECOND)
+    side.fake.end_run(SECOND)
     case.assertTrue(notified.wait(10))
 
 
@@ -150,7 +150,7 @@
 
 def test_late_heartbeat_of_a_former_incarnation_with_same_id_is_dropped(case):
     side = Runner(case)
-    late = side.standin.make_heartbeat(state='draining', seq=99)
+    late = side.fake.make_heartbeat(state='draining', seq=99)
     side.restart()
     side.deliver_heartbeat()
     side.read_listing()
@@ -187,12 +187,12 @@
     """
     side = Runner(case)
     side.restart()
-    side.standin.orders.clear()
+    side.fake.orders.clear()
     case.assertNotEqual(side.start(FIRST), '')
     case.assertTrue(side.client.renew(10**9).is_err())
-    case.assertEqual(side.standin.running, {})
+    case.assertEqual(side.fake.running, {})
     lease_orders = [
-        order for _, order in side.standin.orders if 'untilMs' in order
+        order for _, order in side.fake.orders if 'untilMs' in order
     ]
     case.assertEqual(lease_orders, [])
 
@@ -201,22 +201,22 @@
     """Both have the instance id; the next incarnation has seen no token."""
     side = Runner(case)
     side.start(FIRST)
-    late = side.standin.orders[-1]
+    late = side.fake.orders[-1]
     side.restart()
     side.read_listing()
-    case.assertEqual(side.standin.carry_out(*late), 409)
-    case.assertEqual(side.standin.running, {})
+    case.assertEqual(side.fake.carry_out(*late), 409)
+    case.assertEqual(side.fake.running, {})
 
 
 def test_lease_of_a_former_incarnation_is_not_shown_in_the_next(case):
     side = Runner(case)
-    side.client.renew(side.standin.read_ms() + 10**6)
+    side.client.renew(side.fake.read_ms() + 10**6)
     side.restart()
     side.deliver_heartbeat()
     side.read_listing()
     side.start(FIRST)
     (attempt,) = side.read_listing().attempts
-    longest = side.standin.read_ms() + MAX_HOLD_MS
+    longest = side.fake.read_ms() + MAX_HOLD_MS
     case.assertLessEqual(attempt.lease_until_ms, longest)
 
 
@@ -225,7 +225,7 @@
     side = Runner(case)
     side.run_and_acknowledge(FIRST)
     former = side.read_listing().life
-    side.standin.break_connections = lambda: None
+    side.fake.break_connections = lambda: None
     side.restart()
     case.assertTrue(side.client.read_listing().is_err())
     side.deliver_heartbeat()
@@ -239,9 +239,9 @@
     for _ in range(3):
         side.restart()
         side.deliver_heartbeat()
-    case.assertEqual(side.read_listing().life.born_ms, side.standin.born_ms)
+    case.assertEqual(side.read_listing().life.born_ms, side.fake.born_ms)
     side.start(SECOND)
-    side.standin.end_run(SECOND)
+    side.fake.end_run(SECOND)
     case.assertEqual(side.list_states(), {SECOND: 'succeeded'})
 
 
--- a/packages/platform/portwharf/platform/runner_test.py
+++ b/packages/platform/portwharf/platform/runner_test.py
@@ -18,12 +18,12 @@
 
 
 def open_runner(case, token=7):
-    """Return a client of a stand-in runner, and the stand-in."""
-    standin, place = platform_runner.serve_runner(case)
+    """Return a client of a fake runner, and the fake."""
+    fake, place = platform_runner.serve_runner(case)
     client = runner.RunnerWorker(place, lambda: token, 6000)
     client.record_heartbeat(make_life())
     client.read_listing()
-    return client, standin
+    return client, fake
 
 
 def make_life(instance='i-1', **fields):
@@ -60,23 +60,23 @@
 
 
 def test_nothing_is_ordered_without_a_token(case):
-    client, standin = open_runner(case, token=0)
+    client, fake = open_runner(case, token=0)
     case.assertEqual(start(client).ok_value, workers.REFUSED_NO_HEARTBEAT)
     case.assertTrue(client.stop(TASK, 1, True).is_err())
     case.assertTrue(client.renew(5000).is_err())
-    case.assertEqual(standin.orders, [])
+    case.assertEqual(fake.orders, [])
 
 
 def test_start_with_a_server_error_may_run(case):
-    client, standin = open_runner(case)
-    standin.lose_answers = 1
+    client, fake = open_runner(case)
+    fake.lose_answers = 1
     case.assertTrue(start(client).is_err())
-    case.assertIn(TASK, standin.running)
+    case.assertIn(TASK, fake.running)
 
 
 def test_refused_ticket_says_nothing_against_the_worker(case):
-    client, standin = open_runner(case)
-    standin.ticket = 'right'
+    client, fake = open_runner(case)
+    fake.ticket = 'right'
     until = int(time.monotonic() * 1000) + 5000
     order = workers.Start(TASK, 1, argument=b'spec', lease_until_ms=until)
     order.life = LIFE
@@ -88,10 +88,10 @@
 
 
 def test_start_twice_is_one_run_and_an_ended_one_is_old(case):
-    client, standin = open_runner(case)
+    client, fake = open_runner(case)
     start(client)
     case.assertEqual(start(client).ok_value, '')
-    standin.end_run(TASK)
+    fake.end_run(TASK)
     case.assertEqual(start(client).ok_value, workers.REFUSED_ATTEMPT_OVER)
 
 
@@ -103,43 +103,43 @@
 
 
 def test_former_side_is_refused(case):
-    client, standin = open_runner(case)
-    standin.fence = 8 * runner_connection.LIVES_PER_TOKEN
+    client, fake = open_runner(case)
+    fake.fence = 8 * runner_connection.LIVES_PER_TOKEN
     case.assertEqual(start(client).ok_value, workers.REFUSED_FENCE)
 
 
 def test_ends_stay_until_they_are_logged_in_order(case):
-    client, standin = open_runner(case)
+    client, fake = open_runner(case)
     for number in (1, 2):
         start(client, task=f'j.0.0.{number}')
-        standin.end_run(f'j.0.0.{number}')
+        fake.end_run(f'j.0.0.{number}')
     case.assertEqual(list_states(client), ['succeeded', 'succeeded'])
     client.forget('j.0.0.2', 1)
     case.assertEqual(len(list_states(client)), 2)
     client.forget('j.0.0.1', 1)
     case.assertEqual(list_states(client), [])
-    case.assertEqual(standin.orders[-1][1]['ackedUpto'], 2)
+    case.assertEqual(fake.orders[-1][1]['ackedUpto'], 2)
 
 
 def test_new_incarnation_is_never_told_of_the_old_ones_numbers(case):
-    client, standin = open_runner(case)
+    client, fake = open_runner(case)
     start(client)
-    standin.end_run(TASK)
+    fake.end_run(TASK)
     client.read_listing()
     client.forget(TASK, 1)
-    standin.restart('i-2')
+    fake.restart('i-2')
     case.assertTrue(client.read_listing().is_err())
     client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client, 2)
-    standin.end_run(TASK)
+    fake.end_run(TASK)
     case.assertEqual(list_states(client), ['succeeded'])
-    acked = [o['ackedUpto'] for v, o in standin.orders if v == 'hold']
+    acked = [o['ackedUpto'] for v, o in fake.orders if v == 'hold']
     case.assertEqual(acked[-1], 0)
 
 
 def test_end_states_are_translated(case):
-    client, standin = open_runner(case)
+    client, fake = open_runner(case)
     ends = {
         'done': 'succeeded',
         'failed': 'failed',
@@ -150,7 +150,7 @@
     }
     for how, state in ends.items():
         start(client, task=f'{how}.0.0.0')
-        standin.end_run(f'{how}.0.0.0', how, 'kept')
+        fake.end_run(f'{how}.0.0.0', how, 'kept')
         found = client.read_listing().ok_value.attempts[-1]
         case.assertEqual((found.state, found.checkpoint), (state, 'kept'))
 
@@ -163,12 +163,12 @@
 
 
 def test_end_is_notified_at_once(case):
-    client, standin = open_runner(case)
+    client, fake = open_runner(case)
     notified = threading.Event()
     client.on_attempt_end(notified.set)
     case.enterContext(client)
     start(client)
-    standin.end_run(TASK)
+    fake.end_run(TASK)
     case.assertTrue(notified.wait(10))
 
 
@@ -182,8 +182,8 @@
 
 
 def test_attempt_of_a_former_side_is_listed_with_its_resources(case):
-    client, standin = open_runner(case)
-    standin.running[TASK] = 1
+    client, fake = open_runner(case)
+    fake.running[TASK] = 1
     client.restore_start(
         workers.Start(TASK, 1, workload='a/b', resources=SIZE)
     )
@@ -202,8 +202,8 @@
 
 
 def test_late_heartbeat_of_an_earlier_incarnation_changes_nothing(case):
-    client, standin = open_runner(case)
-    standin.restart('i-2')
+    client, fake = open_runner(case)
+    fake.restart('i-2')
     client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client)
@@ -236,10 +236,10 @@
 
 
 def test_new_incarnation_without_a_response_is_asked_again(case):
-    client, standin = open_runner(case)
+    client, fake = open_runner(case)
     start(client)
-    standin.restart('i-2')
-    standin.unhealthy = 1
+    fake.restart('i-2')
+    fake.unhealthy = 1
     client.record_heartbeat(make_life('i-2'))
     case.assertTrue(client.read_listing().is_err())
     listing = client.read_listing().ok_value
@@ -256,43 +256,43 @@
 
 
 def test_ends_of_an_unidentified_incarnation_are_not_acknowledged(case):
-    standin, place = platform_runner.serve_runner(case)
+    fake, place = platform_runner.serve_runner(case)
     former = runner.RunnerWorker(place, lambda: 7, 6000)
     former.record_heartbeat(make_life())
     former.read_listing()
     start(former)
-    standin.end_run(TASK)
+    fake.end_run(TASK)
     client = runner.RunnerWorker(place, lambda: 8, 6000)
     client.read_listing()
-    standin.restart('i-2')
+    fake.restart('i-2')
     client.record_heartbeat(make_life('i-2'))
     client.read_listing()
     start(client, 2)
-    standin.end_run(TASK)
+    fake.end_run(TASK)
     client.forget(TASK, 1)
     case.assertEqual(list_states(client), ['succeeded'])
 
 
 def test_nothing_starts_on_a_draining_incarnation(case):
-    client, standin = open_runner(case)
+    client, fake = open_runner(case)
     client.record_heartbeat(make_life(draining=True))
     case.assertEqual(start(client).ok_value, workers.REFUSED_LEAVING)
-    case.assertEqual(standin.running, {})
+    case.assertEqual(fake.running, {})
 
 
 def test_nothing_starts_before_the_incarnation_is_identified(case):
-    standin, place = platform_runner.serve_runner(case)
+    fake, place = platform_runner.serve_runner(case)
     client = runner.RunnerWorker(place, lambda: 7, 6000)
     client.record_heartbeat(make_life('i-0'))
     client.read_listing()
     case.assertEqual(start(client).ok_value, workers.REFUSED_NO_HEARTBEAT)
-    case.assertEqual(standin.running, {})
+    case.assertEqual(fake.running, {})
 
 
 def test_starts_recalled_before_the_first_heartbeat_are_kept(case):
     """A restarted side may hear its owner before the runner."""
-    standin, place = platform_runner.serve_runner(case)
-    standin.running[TASK] = 1
+    fake, place = platform_runner.serve_runner(case)
+    fake.running[TASK] = 1
     client = runner.RunnerWorker(place, lambda: 7, 6000)
     client.restore_start(
         workers.Start(TASK, 1, workload='a/b', resources=SIZE)
--- a/packages/platform/portwharf/platform/runner_walk_test.py
+++ b/packages/platform/portwharf/platform/runner_walk_test.py
@@ -71,18 +71,18 @@
 class Connection:
     """A connection to the incarnation that ran when it was opened."""
 
-    def __init__(self, standin):
-        self._standin = standin
+    def __init__(self, fake):
+        self._fake = fake
         self._born_ms = None
 
     @property
     def is_open(self):
         """Whether its incarnation still runs."""
-        return self._born_ms == self._standin.born_ms
+        return self._born_ms == self._fake.born_ms
 
     def open(self, seconds):
         """Connect to the current incarnation."""
-        self._born_ms = self._standin.born_ms
+        self._born_ms = self._fake.born_ms
         return result.Ok(None)
 
     def close(self):
@@ -94,10 +94,10 @@
         if not self.is_open:
             return result.Err(http_client.NoReply('reset', sent=True))
         meant = headers.get('Portwharf-Target-Instance', '')
-        standin = self._standin
-        reply = standin.answer(path, body, meant or standin.instance)
-        if standin.lost_replies:
-            standin.lost_replies -= 1
+        fake = self._fake
+        reply = fake.answer(path, body, meant or fake.instance)
+        if fake.lost_replies:
+            fake.lost_replies -= 1
             self.close()
             return result.Err(http_client.NoReply('lost', sent=True))
         return result.Ok(reply)
@@ -108,9 +108,9 @@
 
     def __init__(self, seed, reported_born_ms=None):
         self.random = random.Random(seed)
-        self.standin = Runner()
-        self.standin.reported_born_ms = reported_born_ms
-        self.client = runner.RunnerWorker(self.standin, lambda: 7, 6000)
+        self.fake = Runner()
+        self.fake.reported_born_ms = reported_born_ms
+        self.client = runner.RunnerWorker(self.fake, lambda: 7, 6000)
         self.heartbeats = []
         self.listing = workers.Listing()
         self.logged = set()
@@ -123,9 +123,9 @@
         """
         self.deliver_heartbeat()
         for _ in range(STEPS):
-            self.standin.now_ms += STEP_MS
+            self.fake.now_ms += STEP_MS
             self.random.choice(ACTIONS)(self)
-            unlogged = self.standin.acknowledged - self.logged
+            unlogged = self.fake.acknowledged - self.logged
             if unlogged:
                 raise InvariantError(
                     f'acknowledged and never logged: {unlogged}'
@@ -133,10 +133,8 @@
 
     def deliver_heartbeat(self):
         """Deliver a heartbeat."""
-        standin = self.standin
-        body = standin.make_heartbeat(
-            born=standin.reported_born_ms or standin.born_ms
-        )
+        fake = self.fake
+        body = fake.make_heartbeat(born=fake.reported_born_ms or fake.born_ms)
         self.heartbeats.append(body)
         self.client.record_heartbeat(heartbeats.parse_life('i-1', body))
 
@@ -159,7 +157,7 @@
             for one in self.listing.attempts
             if one.state != data.RunState.RUNNING
         }
-        listed = {(row[1], row[2]) for row in self.standin.ended}
+        listed = {(row[1], row[2]) for row in self.fake.ended}
         if listed - ended - self.logged:
             raise InvariantError(
                 f'passed over: {listed - ended - self.logged}'
@@ -186,10 +184,8 @@
 
     def end_attempt(self):
         """End a running attempt."""
-        if self.standin.running:
-            self.standin.end_run(
-                self.random.choice(list(self.standin.running))
-            )
+        if self.fake.running:
+            self.fake.end_run(self.random.choice(list(self.fake.running)))
 
     def forget(self):
         """Mark all logged attempts to be dropped."""
@@ -198,11 +194,11 @@
 
     def restart(self):
         """Restart the runner under its instance id."""
-        self.standin.restart('i-1')
+        self.fake.restart('i-1')
 
     def lose_replies(self):
         """Lose the next responses."""
-        self.standin.lost_replies = self.random.randint(1, 2)
+        self.fake.lost_replies = self.random.randint(1, 2)
 
 
 ACTIONS = (
--- a/packages/platform/portwharf/platform/store_client_test.py
+++ b/packages/platform/portwharf/platform/store_client_test.py
@@ -13,11 +13,11 @@
 
 
 def open_store(case):
-    """Return a client of a stand-in store, and the stand-in."""
-    standin = platform_store.FakePlatformStore()
-    port = fixtures.serve(case, standin)
+    """Return a client of a fake store, and the fake."""
+    fake = platform_store.FakePlatformStore()
+    port = fixtures.serve(case, fake)
     endpoint = settings.Endpoint('127.0.0.1', port)
-    return case.enterContext(store_client.PlatformStore(endpoint)), standin
+    return case.enterContext(store_client.PlatformStore(endpoint)), fake
 
 
 def test_key_is_created_once(case):
@@ -37,12 +37,12 @@
 
 
 def test_lost_answer_is_unknown_and_a_refusal_is_not(case):
-    client, standin = open_store(case)
-    standin.faults.lost = True
+    client, fake = open_store(case)
+    fake.faults.lost = True
     lost = client.swap('a', b'1', 0)
     case.assertTrue(lost.err_value.unknown)
     case.assertEqual(client.read('a').ok_value.value, b'1')
-    standin.faults.down = True
+    fake.faults.down = True
     case.assertFalse(client.swap('b', b'1', 0).err_value.unknown)
 
 
@@ -65,51 +65,51 @@
 
 
 def test_watch_returns_the_changed_entry(case):
-    client, standin = open_store(case)
+    client, fake = open_store(case)
     entry = client.swap('a', b'1', 0).ok_value
-    standin.set_item('a', 'Mg==')
+    fake.set_item('a', 'Mg==')
     found = client.wait_for_change('a', entry.revision, 1)
     case.assertEqual(found.ok_value.value, b'2')
 
 
 def test_watch_begins_at_the_revision_of_the_last_read(case):
-    client, standin = open_store(case)
+    client, fake = open_store(case)
     entry = client.swap('a', b'1', 0).ok_value
-    standin.set_item('other', '')
+    fake.set_item('other', '')
     client.read('a')
-    standin.faults.history = entry.revision + 1
+    fake.faults.history = entry.revision + 1
     found = client.wait_for_change('a', entry.revision, 0.05)
     case.assertIsNone(found.ok_value)
-    case.assertEqual(standin.calls[-1], 'kv-watch')
+    case.assertEqual(fake.calls[-1], 'kv-watch')
 
 
 def test_dropped_history_ends_the_watch(case):
-    client, standin = open_store(case)
-    standin.faults.history = 10**6
+    client, fake = open_store(case)
+    fake.faults.history = 10**6
     found = client.wait_for_change('a', 3, 0.05)
     case.assertTrue(found.is_ok())
     case.assertIsNone(found.ok_value)
 
 
 def test_keys_are_deleted_with_their_lease(case):
-    client, standin = open_store(case)
+    client, fake = open_store(case)
     lease = client.grant_lease(5).ok_value
     client.put('a', b'1', lease)
     case.assertTrue(client.renew_lease(lease).ok_value)
-    standin.end_leases()
+    fake.end_leases()
     case.assertFalse(client.renew_lease(lease).ok_value)
     case.assertIsNone(client.read('a').ok_value)
 
 
 def test_shard_log_works_on_the_store(case):
-    client, standin = open_store(case)
+    client, fake = open_store(case)
     log = shardlog.ShardLog(client, 0)
     case.assertTrue(log.read().ok_value.empty)
     event = events.OwnerChanged(1, 'vm-1', [])
     case.assertEqual(log.append([event]).ok_value, 0)
-    standin.faults.lost = True
+    fake.faults.lost = True
     case.assertEqual(log.append([event]).ok_value, 1)
-    standin.faults.lost = False
+    fake.faults.lost = False
     case.assertTrue(log.check_head().ok_value)
     rival_log = shardlog.ShardLog(client, 0)
     rival_log.read()
@@ -128,31 +128,31 @@
 
 
 def test_names_are_listed_over_all_pages(case):
-    client, standin = open_store(case)
+    client, fake = open_store(case)
     for number in range(8):
-        standin.set_item(f'zones/{number}', '')
-    standin.set_item('zonesque', '')
+        fake.set_item(f'zones/{number}', '')
+    fake.set_item('zonesque', '')
     names = client.list_keys('zones/').ok_value
     case.assertEqual([key[-1] for key in names.keys], list('01234567'))
 
 
 def test_watch_of_names_reports_writes_and_deletions(case):
-    client, standin = open_store(case)
+    client, fake = open_store(case)
     empty = client.list_keys('zones/').ok_value
-    standin.set_item('zones/a', '')
+    fake.set_item('zones/a', '')
     changed = client.wait_for_key_changes('zones/', empty.revision, 1)
     case.assertEqual(changed.ok_value.revision, 0)
     listed = client.list_keys('zones/').ok_value
     case.assertEqual(listed.keys, ['zones/a'])
-    standin.revoke('zones/a')
+    fake.revoke('zones/a')
     changed = client.wait_for_key_changes('zones/', listed.revision, 1)
     case.assertEqual(changed.ok_value.revision, 0)
 
 
 def test_unchanged_watch_of_names_returns_a_later_revision(case):
-    client, standin = open_store(case)
+    client, fake = open_store(case)
     empty = client.list_keys('zones/').ok_value
-    standin.set_item('other', '')
+    fake.set_item('other', '')
     found = client.wait_for_key_changes(
         'zones/', empty.revision, 0.05
     ).ok_value
@@ -160,7 +160,7 @@
 
 
 def test_names_are_reported_changed_after_dropped_history(case):
-    client, standin = open_store(case)
-    standin.faults.history = 10**6
+    client, fake = open_store(case)
+    fake.faults.history = 10**6
     found = client.wait_for_key_changes('zones/', 3, 0.05)
     case.assertEqual(found.ok_value.revision, 0)
--- a/packages/scheduler/portwharf/scheduler/configuration_test.py
+++ b/packages/scheduler/portwharf/scheduler/configuration_test.py
@@ -28,14 +28,14 @@
 
 
 def test_wrong_text_is_refused_as_a_whole(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     bad = TEXT + '[services.x]\ntarget_ms = 0\ntarget_ratio = 2\n'
     outcome = propose(kv, 0, bad)
     fields = {problem.field for problem in outcome.err_value}
     case.assertEqual(
         fields, {'services.x.target_ms', 'services.x.target_ratio'}
     )
-    case.assertEqual(standin.list_keys(), [])
+    case.assertEqual(fake.list_keys(), [])
 
 
 def test_concurrent_change_is_a_conflict(case):
@@ -55,20 +55,20 @@
 
 
 def test_lost_answer_is_read_back(case):
-    kv, standin = fixtures.make_store()
-    standin.faults.lose_answers = 1
+    kv, fake = fixtures.make_store()
+    fake.faults.lose_answers = 1
     case.assertTrue(propose(kv, 0).is_ok())
 
 
 def test_outcome_of_a_lost_request_is_unknown(case):
-    kv, standin = fixtures.make_store()
-    standin.faults.lose_requests = 1
+    kv, fake = fixtures.make_store()
+    fake.faults.lose_requests = 1
     case.assertEqual(get_code(propose(kv, 0)), 'outcome-unknown')
 
 
 def test_store_down_changes_nothing(case):
-    kv, standin = fixtures.make_store()
-    standin.faults.down = True
+    kv, fake = fixtures.make_store()
+    fake.faults.down = True
     case.assertIn(
         get_code(propose(kv, 0)), ('not-accepted', 'outcome-unknown')
     )
--- a/packages/scheduler/portwharf/scheduler/jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/jobs_test.py
@@ -187,11 +187,11 @@
 def test_job_completes_despite_owner_change_and_store_outage(case):
     made = cluster.Cluster()
     submit(made)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.finish_running()
     made.run(2)
     made.restart_side(made.nodes[0])
-    made.standin.faults.down = False
+    made.fake.faults.down = False
     made.run(2)
     made.nodes[1].claim()
     made.run(6)
@@ -206,13 +206,13 @@
     made = cluster.Cluster()
     submit(made, make_step())
     node = made.list_owners()[0]
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.finish_running()
     made.run(1)
     query = messages.Operation(1, 'read-job', b'\x81\xa2id\xb0' + ID.encode())
     shown = node.owner.execute_operation(query)
     case.assertIn(b'running', shown.body)
-    made.standin.faults.down = False
+    made.fake.faults.down = False
     made.run(2)
     case.assertIn(b'completed', node.owner.execute_operation(query).body)
 
--- a/packages/scheduler/portwharf/scheduler/ownership_test.py
+++ b/packages/scheduler/portwharf/scheduler/ownership_test.py
@@ -119,7 +119,7 @@
 
 def test_majority_confirms_an_owner_without_the_store(case):
     made = make_cluster()
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.run(60)
     case.assertEqual(sum(map(len, map(list_running, made.nodes))), 3)
     case.assertEqual(count_runs(made), 3)
@@ -129,11 +129,11 @@
 
 def test_result_survives_an_outage_and_its_owner(case):
     made = make_cluster()
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.finish_running()
     made.run(10)
     made.restart_side(made.nodes[0])
-    made.standin.faults.down = False
+    made.fake.faults.down = False
     made.run(2)
     made.nodes[1].claim()
     made.run(10)
@@ -192,7 +192,7 @@
 def test_lost_answers_duplicate_nothing(case):
     made = cluster.Cluster(3)
     for _ in range(5):
-        made.standin.faults.lose_answers = 2
+        made.fake.faults.lose_answers = 2
         made.submit(1)
         made.run(2)
     finish(made)
--- a/packages/scheduler/portwharf/scheduler/prepared_starts_test.py
+++ b/packages/scheduler/portwharf/scheduler/prepared_starts_test.py
@@ -9,7 +9,7 @@
 def test_prepared_tasks_start_during_an_outage(case):
     made = ownership_test.make_cluster(10)
     case.assertEqual(ownership_test.count_runs(made), 6)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.run(3)
     made.finish_running()
     made.run(5)
@@ -20,12 +20,12 @@
 
 def test_prepared_task_started_in_an_outage_survives_its_owner(case):
     made = ownership_test.make_cluster(10)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.run(3)
     made.finish_running()
     made.run(5)
     made.restart_side(made.nodes[0])
-    made.standin.faults.down = False
+    made.fake.faults.down = False
     made.run(3)
     made.nodes[1].claim()
     ownership_test.finish(made)
@@ -34,12 +34,12 @@
 
 def test_prepared_task_is_kept_until_its_side_reports(case):
     made = ownership_test.make_cluster(10)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.run(3)
     made.finish_running()
     made.run(5)
     made.restart_side(made.nodes[0])
-    made.standin.faults.down = False
+    made.fake.faults.down = False
     made.run(3)
     made.nodes[1].claim()
     # The new owner's first pass runs before any side has reported.
@@ -76,7 +76,7 @@
     the log holds the task only as prepared.
     """
     made = ownership_test.make_cluster(10)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     owner = made.nodes[0].owner
     link = owner._members.get_link('vm-01')
     lost = []
--- a/packages/scheduler/portwharf/scheduler/shardlog_test.py
+++ b/packages/scheduler/portwharf/scheduler/shardlog_test.py
@@ -57,18 +57,18 @@
 
 
 def test_lost_answer_counts_as_ours(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
-    standin.faults.lose_answers = 1
+    fake.faults.lose_answers = 1
     case.assertEqual(log.append([EVENT]).ok_value, 0)
     contents = shardlog.ShardLog(kv, 0).read().ok_value
     case.assertEqual(len(contents.batches), 1)
 
 
 def test_lost_request_is_sent_again_once(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
-    standin.faults.lose_requests = 1
+    fake.faults.lose_requests = 1
     case.assertIsInstance(log.append([EVENT]).err_value, shardlog.Stalled)
     case.assertEqual(log.append([EVENT]).ok_value, 0)
     contents = shardlog.ShardLog(kv, 0).read().ok_value
@@ -76,15 +76,15 @@
 
 
 def test_append_before_an_outage_is_confirmed_later(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
     log.append([EVENT])
-    standin.faults.lose_answers = 1
+    fake.faults.lose_answers = 1
     read = kv.read
-    kv.read = lambda key: _read_after_failure(standin, read, key)
+    kv.read = lambda key: _read_after_failure(fake, read, key)
     case.assertIsInstance(log.append([EVENT]).err_value, shardlog.Stalled)
     kv.read = read
-    standin.faults.down = False
+    fake.faults.down = False
     case.assertEqual(log.append([EVENT]).ok_value, 1)
     case.assertEqual(log.next_seq, 2)
 
@@ -98,10 +98,10 @@
 
 
 def test_same_events_of_two_writers_are_distinguished(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     first, second = open_log(kv), open_log(kv)
     second.append([EVENT])
-    standin.faults.lose_requests = 1
+    fake.faults.lose_requests = 1
     deposed = first.append([EVENT]).err_value
     case.assertIsInstance(deposed, shardlog.Deposed)
 
@@ -128,7 +128,7 @@
 
 
 def test_snapshot_replaces_the_trimmed_entries(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
     append_all(log, 4)
     raw = bytes(range(256)) * 8000
@@ -137,12 +137,12 @@
     contents = shardlog.ShardLog(kv, 0).read().ok_value
     case.assertEqual(contents.snapshot, raw)
     case.assertEqual(list_ids(contents), ['0', '1'])
-    entries = [key for key in standin.list_keys() if '/log/' in key]
+    entries = [key for key in fake.list_keys() if '/log/' in key]
     case.assertEqual(len(entries), 4)
 
 
 def test_second_snapshot_replaces_the_first(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
     append_all(log, 2)
     log.write_snapshot(b'one')
@@ -150,7 +150,7 @@
     log.write_snapshot(b'two')
     contents = shardlog.ShardLog(kv, 0).read().ok_value
     case.assertEqual(contents.snapshot, b'two')
-    chunks = [key for key in standin.list_keys() if '/snapshot/' in key]
+    chunks = [key for key in fake.list_keys() if '/snapshot/' in key]
     case.assertEqual(len(chunks), 1)
 
 
@@ -176,22 +176,22 @@
 
 
 def test_store_down_stalls_and_loses_nothing(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
-    standin.faults.down = True
+    fake.faults.down = True
     case.assertIsInstance(log.append([EVENT]).err_value, shardlog.Stalled)
-    standin.faults.down = False
+    fake.faults.down = False
     case.assertEqual(log.append([EVENT]).ok_value, 0)
 
 
-def _read_after_failure(standin, read, key):
+def _read_after_failure(fake, read, key):
     """Read a key just after the store went down."""
-    standin.faults.down = True
+    fake.faults.down = True
     return read(key)
 
 
 def test_only_owners_read_the_owner_part_of_a_snapshot(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
     append_all(log, 2)
     log.write_snapshot(b'one', b'history of one')
@@ -204,7 +204,7 @@
     side = shardlog.ShardLog(kv, 0).read(whole=False).ok_value
     case.assertEqual((side.snapshot, side.aside), (b'two', b''))
     # The chunks of the first snapshot are deleted.
-    chunks = [key for key in standin.list_keys() if '/snapshot/' in key]
+    chunks = [key for key in fake.list_keys() if '/snapshot/' in key]
     case.assertEqual(len(chunks), 3)
 
 
@@ -223,12 +223,12 @@
 
 
 def test_entry_takes_a_quarter_of_its_bytes_or_less(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     log = open_log(kv)
     placed = make_placements(30)
     log.append(placed)
     (entry,) = [
-        kv.read(key).ok_value for key in standin.list_keys() if '/log/' in key
+        kv.read(key).ok_value for key in fake.list_keys() if '/log/' in key
     ]
     uncompressed = msgpack.packb(events.write_events(placed))
     case.assertLess(len(entry.value), len(uncompressed) / 4)
--- a/packages/scheduler/portwharf/scheduler/zones_test.py
+++ b/packages/scheduler/portwharf/scheduler/zones_test.py
@@ -114,7 +114,7 @@
     made = make_cluster()
     made.close_zone(CLOSED)
     made.run(LONG_WAIT_SECONDS)
-    made.standin.put(zones.PREFIX + CLOSED, b'\xff not to be read')
+    made.fake.put(zones.PREFIX + CLOSED, b'\xff not to be read')
     made.submit(6)
     made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [2, 0, 2])
@@ -261,11 +261,11 @@
     made.nodes[0].worker.resize(0)
     made.nodes[2].worker.resize(0)
     made.run(2)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.submit(1)
     made.run(4)
-    made.standin.faults.down = False
-    made.standin.put(zones.PREFIX + CLOSED, b'')
+    made.fake.faults.down = False
+    made.fake.put(zones.PREFIX + CLOSED, b'')
     made.run(LONG_WAIT_SECONDS)
     case.assertEqual(count_running(made), [0, 0, 0])
 
@@ -279,7 +279,7 @@
     made.tick(0.1)
     for node in made.nodes:
         node.zones.refresh(node.kv)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.run(6)
     made.finish_running()
     made.run(6)
@@ -341,32 +341,32 @@
 
 
 def test_watch_sees_created_and_deleted_keys(case):
-    kv, standin = etcd_test.open_served(case)
+    kv, fake = etcd_test.open_served(case)
     keeper = zones.ZoneKeeper(clock.ManualClock())
     case.assertTrue(keeper.refresh(kv))
-    standin.put(zones.PREFIX + CLOSED, b'')
+    fake.put(zones.PREFIX + CLOSED, b'')
     case.assertTrue(keeper.wait_for_change(kv))
     case.assertTrue(keeper.is_closed(CLOSED))
-    standin.remove(zones.PREFIX + CLOSED)
+    fake.remove(zones.PREFIX + CLOSED)
     case.assertTrue(keeper.wait_for_change(kv))
     case.assertFalse(keeper.is_closed(CLOSED))
 
 
 def test_store_that_does_not_answer_changes_nothing(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     now = clock.ManualClock()
     keeper = zones.ZoneKeeper(now)
-    standin.put(zones.PREFIX + CLOSED, b'')
+    fake.put(zones.PREFIX + CLOSED, b'')
     keeper.refresh(kv)
     now.advance(3.0)
-    standin.faults.down = True
+    fake.faults.down = True
     case.assertFalse(keeper.refresh(kv))
     case.assertTrue(keeper.is_closed(CLOSED))
     case.assertFalse(keeper.is_known_since(now.read_monotonic() - 1.0))
 
 
 def test_slow_watch_does_not_lower_the_read_time(case):
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     now = clock.ManualClock()
     keeper = zones.ZoneKeeper(now)
     keeper.refresh(kv)
--- a/packages/side/portwharf/side/task_traits_test.py
+++ b/packages/side/portwharf/side/task_traits_test.py
@@ -107,7 +107,7 @@
     deployment = cluster.Cluster(3)
     deployment.submit(10)
     deployment.run(4)
-    deployment.standin.faults.down = True
+    deployment.fake.faults.down = True
     deployment.submit(1)
     deployment.run(2)
     deployment.finish_running()
@@ -116,7 +116,7 @@
     running = [run.attempt for run in node.worker.runs if run.running]
     case.assertTrue(running)
     deployment.restart_side(node)
-    deployment.standin.faults.down = False
+    deployment.fake.faults.down = False
     deployment.run(4)
     case.assertFalse(node.server.agent._pacer.has_unknown_attempts)
     known = node.server.agent._pacer._traits
--- a/packages/testing/portwharf/testing/bench.py
+++ b/packages/testing/portwharf/testing/bench.py
@@ -59,7 +59,7 @@
     """
     rnd = random.Random(1)
     interval_seconds = SHARDS / settings.STORE_WRITES
-    kv, standin = fixtures.make_store()
+    kv, fake = fixtures.make_store()
     logs = [shardlog.ShardLog(kv, shard) for shard in range(SHARDS)]
     for log in logs:
         log.read()
@@ -84,7 +84,7 @@
     return [
         Row(
             'writes, 76 starts/s over 24 shards',
-            standin.writes / DURATION_SECONDS,
+            fake.writes / DURATION_SECONDS,
             'a second',
             MAX_WRITES_PER_SECOND,
         )
--- a/packages/testing/portwharf/testing/cluster.py
+++ b/packages/testing/portwharf/testing/cluster.py
@@ -51,7 +51,7 @@
         self.vm = vm
         self.clock = cluster_fakes.SpeedClock(cluster.time, speed)
         self.worker = cluster_fakes.FakeWorker(self.clock)
-        self.pool = cluster_fakes.CuttablePool(cluster.standin)
+        self.pool = cluster_fakes.CuttablePool(cluster.fake)
         self.kv = fixtures.open_store(self.pool)
         self.owner = None
         self.paused = False
@@ -169,7 +169,7 @@
 
     def __init__(self, size=3):
         self.time = clock.ManualClock()
-        self.standin = fake_store.FakeStore()
+        self.fake = fake_store.FakeStore()
         vms = [fixtures.make_vm(number) for number in range(size)]
         self.listing = cluster_fakes.FakeVmList(vms)
         self.nodes = [
@@ -317,7 +317,7 @@
         Workers answer again, but keep their capacity and their crashers.
         """
         self.cuts.clear()
-        self.standin.faults = fake_store.Faults()
+        self.fake.faults = fake_store.Faults()
         self.listing.set_leaving(set())
         for node in self.nodes:
             node.pool.cut = False
@@ -353,12 +353,12 @@
 
     def close_zone(self, zone):
         """Close an availability zone to new starts, as an operator does."""
-        self.standin.put(zones.PREFIX + zone, b'')
+        self.fake.put(zones.PREFIX + zone, b'')
         self.closed[zone] = self.time.read_monotonic()
 
     def open_zone(self, zone):
         """Open a closed availability zone."""
-        self.standin.remove(zones.PREFIX + zone)
+        self.fake.remove(zones.PREFIX + zone)
         self.closed.pop(zone, None)
 
     def list_owners(self):
@@ -414,7 +414,7 @@
 
     def read_state(self):
         """Return the shard's state, read from the log in the store."""
-        return takeover.read_state(fixtures.make_store(self.standin)[0], 0)
+        return takeover.read_state(fixtures.make_store(self.fake)[0], 0)
 
     def finish_running(self):
         """Let all running attempts on VMs that are up succeed."""
--- a/packages/testing/portwharf/testing/fixtures.py
+++ b/packages/testing/portwharf/testing/fixtures.py
@@ -68,13 +68,13 @@
     return store.EtcdStore(pool)
 
 
-def make_store(standin=None):
+def make_store(fake=None):
     """Return the real store adapter on a fake store, and the fake.
 
-    :param standin: None for a new one
+    :param fake: None for a new one
     """
-    standin = standin or fake_store.FakeStore()
-    return store.EtcdStore(WsgiPool(standin)), standin
+    fake = fake or fake_store.FakeStore()
+    return store.EtcdStore(WsgiPool(fake)), fake
 
 
 def serve(case, app, threads=4):
--- a/packages/testing/portwharf/testing/platform_runner.py
+++ b/packages/testing/portwharf/testing/platform_runner.py
@@ -28,11 +28,11 @@
 
     :returns: the :class:`FakePlatformRunner` and its ``settings.Endpoint``
     """
-    standin = FakePlatformRunner()
-    port = fixtures.serve(case, standin, threads=6)
+    fake = FakePlatformRunner()
+    port = fixtures.serve(case, fake, threads=6)
     proxy = case.enterContext(relay.Relay('127.0.0.1', 0, port))
-    standin.break_connections = proxy.cut
-    return standin, settings.Endpoint('127.0.0.1', proxy.port)
+    fake.break_connections = proxy.cut
+    return fake, settings.Endpoint('127.0.0.1', proxy.port)
 
 
 class FakePlatformRunner:
--- a/packages/testing/portwharf/testing/soak_world.py
+++ b/packages/testing/portwharf/testing/soak_world.py
@@ -4,7 +4,7 @@
 
 Entries and sides are separate processes on separate loopback addresses,
 started as the platform starts them. The platform's store and the runners are
-stand-ins in this process, so that checks can read their records. Connections
+fakes in this process, so that checks can read their records. Connections
 to each side, to each runner, and from each process to the store pass through
 relays; the store replaces the ports that sides register by those of relays.
 """
@@ -81,7 +81,7 @@
 
 
 class World:
-    """All processes, relays and stand-ins, as a context manager."""
+    """All processes, relays and fakes, as a context manager."""
 
     def __init__(self, folder, network):
         """Take a folder for logs and settings, and a network number.
--- a/packages/testing/portwharf/testing/walk.py
+++ b/packages/testing/portwharf/testing/walk.py
@@ -305,7 +305,7 @@
 
     def disturb_store(self):
         """Make the store lose answers or requests, or be down."""
-        faults = self.cluster.standin.faults
+        faults = self.cluster.fake.faults
         kind = self.random.randrange(3)
         if kind == 0:
             faults.lose_answers = self.random.randint(1, 3)
@@ -316,7 +316,7 @@
 
     def mend_store(self):
         """Bring the store back."""
-        self.cluster.standin.faults.down = False
+        self.cluster.fake.faults.down = False
 
 
 ACTIONS = (
