--- a/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
+++ b/packages/scheduler/portwharf/scheduler/decisions/remedies_test.py
@@ -42,7 +42,7 @@
 def record_measurements(policy, seconds, count=remedies.LATE_BEFORE_ACTION):
     """Record a measurement of the service, repeatedly."""
     for _ in range(count):
-        policy.note_measured(VM, SERVICE.service, seconds, SERVICE.target)
+        policy.record_measured(VM, SERVICE.service, seconds, SERVICE.target)
 
 
 def find_next_action(policy, neighbours, now=100.0):
@@ -117,11 +117,11 @@
 
 
 def test_evictions_are_rate_limited(case):
-    brake = remedies.EvictionBudget()
-    taken = sum(brake.take(100.0) for _ in range(50))
+    budget = remedies.EvictionBudget()
+    taken = sum(budget.take(100.0) for _ in range(50))
     case.assertEqual(taken, remedies.EVICTION_BURST)
     later = 100.0 + 2 * remedies.EVICTION_REFILL_SECONDS
-    case.assertEqual(sum(brake.take(later) for _ in range(50)), 2)
+    case.assertEqual(sum(budget.take(later) for _ in range(50)), 2)
 
 
 def test_throttled_task_is_released_when_targets_allow(case):
@@ -143,10 +143,10 @@
 
 def test_peaks_decay(case):
     peaks = remedies.PeakLoadTracker()
-    peaks.note('x', 0.8, 0.0)
-    case.assertGreater(peaks.note('x', 0.1, 1.0), 0.79)
+    peaks.record_load('x', 0.8, 0.0)
+    case.assertGreater(peaks.record_load('x', 0.1, 1.0), 0.79)
     late = 1.0 + 2 * remedies.PEAK_HALF_LIFE_SECONDS
-    case.assertAlmostEqual(peaks.note('x', 0.1, late), 0.2, places=2)
+    case.assertAlmostEqual(peaks.record_load('x', 0.1, late), 0.2, places=2)
 
 
 def test_cheapest_sufficient_tasks_make_room(case):
--- a/packages/scheduler/portwharf/scheduler/jobs_test.py
+++ b/packages/scheduler/portwharf/scheduler/jobs_test.py
@@ -187,11 +187,11 @@
 def test_job_completes_despite_owner_change_and_store_outage(case):
     made = cluster.Cluster()
     submit(made)
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.finish_running()
     made.run(2)
     made.restart_side(made.nodes[0])
-    made.standin.faults.down = False
+    made.fake.faults.down = False
     made.run(2)
     made.nodes[1].claim()
     made.run(6)
@@ -206,13 +206,13 @@
     made = cluster.Cluster()
     submit(made, make_step())
     node = made.list_owners()[0]
-    made.standin.faults.down = True
+    made.fake.faults.down = True
     made.finish_running()
     made.run(1)
     query = messages.Operation(1, 'read-job', b'\x81\xa2id\xb0' + ID.encode())
     shown = node.owner.execute_operation(query)
     case.assertIn(b'running', shown.body)
-    made.standin.faults.down = False
+    made.fake.faults.down = False
     made.run(2)
     case.assertIn(b'completed', node.owner.execute_operation(query).body)
 
@@ -230,7 +230,7 @@
         demands = pass_inputs.list_demands(made, lambda _: {'vm-1'}, NOW)
         patience.apply(demands, now)
         done = pass_inputs.plan(made, demands, [view], {}, NOW)
-        patience.note({one.record.id for one in done.waiting}, now)
+        patience.record_waits({one.record.id for one in done.waiting}, now)
         placed.append(len(done.placements))
     case.assertEqual(placed, [0, 0, 1])
 
@@ -244,7 +244,7 @@
         [messages.Headroom('desk', 0.0)],
     )
     patience = pass_inputs.Patience()
-    patience.note({FIRST}, 0.0)
+    patience.record_waits({FIRST}, 0.0)
     placed = []
     for now in (2.0, pass_inputs.REMAINING_PATIENCE_SECONDS + 1):
         demands = pass_inputs.list_demands(made, lambda _: frozenset(), NOW)
--- a/packages/testing/portwharf/testing/platform_runner.py
+++ b/packages/testing/portwharf/testing/platform_runner.py
@@ -28,11 +28,11 @@
 
     :returns: the :class:`FakePlatformRunner` and its ``settings.Endpoint``
     """
-    standin = FakePlatformRunner()
-    port = fixtures.serve(case, standin, threads=6)
+    fake = FakePlatformRunner()
+    port = fixtures.serve(case, fake, threads=6)
     proxy = case.enterContext(relay.Relay('127.0.0.1', 0, port))
-    standin.break_connections = proxy.cut
-    return standin, settings.Endpoint('127.0.0.1', proxy.port)
+    fake.break_connections = proxy.cut
+    return fake, settings.Endpoint('127.0.0.1', proxy.port)
 
 
 class FakePlatformRunner:
@@ -54,13 +54,13 @@
         self._lock = threading.Condition()
         self._start_times_ms = itertools.count(FIRST_BORN_MS)
         self.break_connections = lambda: None
-        self.begin_life(instance)
+        self.restart(instance)
         self.lose_answers = 0
         self.unhealthy = 0
         self.orders = []
         self.ticket = ''
 
-    def begin_life(self, instance):
+    def restart(self, instance):
         """Restart without any runs, as after a crash.
 
         :param instance: new instance id, which may be the old one
@@ -83,13 +83,13 @@
         """End a running task."""
         with self._lock:
             run = self.running.pop(task)
-            self._note_end(task, run, how, saved)
+            self._record_end(task, run, how, saved)
 
     def read_ms(self):
         """Return the runner's monotonic clock, in milliseconds."""
         return int(time.monotonic() * 1000)
 
-    def make_beat(self, **fields):
+    def make_heartbeat(self, **fields):
         """Return the next heartbeat; fields override its values."""
         self.seq += 1
         return {
@@ -164,7 +164,7 @@
         self._over[task] = max(run, self._over.get(task, 0))
         if self.running.get(task) == run:
             del self.running[task]
-            self._note_end(task, run, 'stopped', 'kept')
+            self._record_end(task, run, 'stopped', 'kept')
         return 200, {}
 
     def _hold(self, body):
@@ -179,7 +179,7 @@
     def _pace(self, body):
         return 200, {}
 
-    def _note_end(self, task, run, how, saved):
+    def _record_end(self, task, run, how, saved):
         self._numbers += 1
         self._over[task] = max(run, self._over.get(task, 0))
         self.ended.append([self._numbers, task, run, how, saved])
--- a/packages/testing/portwharf/testing/soak_runner.py
+++ b/packages/testing/portwharf/testing/soak_runner.py
@@ -139,7 +139,7 @@
             self._life_count += 1
             self._delayed_starts = []
             self.numbered_ends = {}
-        self.begin_life(f'{self._name}-{self._life_count // 2}')
+        self.restart(f'{self._name}-{self._life_count // 2}')
 
     def read_ms(self):
         """Return the time by the runner's own clock, in ms."""
@@ -270,7 +270,7 @@
         span.ended = time.monotonic()
         span.how = how
 
-    def _note_end(self, task, run, how, saved):
+    def _record_end(self, task, run, how, saved):
         span = self._find_running(task, run)
         if span is not None:
             work = read_work(span.spec, task)
@@ -279,7 +279,7 @@
                 f'{task}|{self._get_done_ms(span)}' if has_checkpoint else ''
             )
             self._end_span(span, how)
-        super()._note_end(task, run, how, saved)
+        super()._record_end(task, run, how, saved)
         if span is not None:
             self.numbered_ends[self._numbers] = span
 
@@ -325,7 +325,7 @@
     def _end_run(self, task, how):
         run = self.running.pop(task, None)
         if run is not None:
-            self._note_end(task, run, how, '')
+            self._record_end(task, run, how, '')
 
     def _send_heartbeats(self):
         last = None
@@ -344,7 +344,7 @@
     def _make_heartbeat(self):
         capacity_map = {'cpu': self.cpu_milli, 'memMb': MEMORY_MB, 'gpu': 0}
         with self._lock:
-            return self.make_beat(
+            return self.make_heartbeat(
                 service='soak-pool',
                 address=self._address,
                 zone='zone-1',
